--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,7 +14,7 @@
     Duration::from_millis(count)
 }
 
-pub fn keyed() -> Class {
+pub fn keyed_class() -> Class {
     Class::default()
 }
 
@@ -22,7 +22,7 @@
     Class { effect: Effect::Unsafe, ..Class::default() }
 }
 
-pub fn safe() -> Class {
+pub fn safe_class() -> Class {
     Class { effect: Effect::Safe, ..Class::default() }
 }
 
@@ -138,7 +138,7 @@
     }
 
     /// Starts a new policy with other settings and another seed.
-    pub fn restart(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
+    pub fn replace_policy(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.policy = DeliveryPolicy::new(settings.clone(), seed);
         self.settings = settings;
         self.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(endpoints)));
@@ -155,7 +155,7 @@
     }
 
     /// A rejection that advertises a limit and the part of it that remains.
-    pub fn reject(&mut self, message: u32, endpoint: u32, remaining: f64, limit: f64) {
+    pub fn reject_with_limit(&mut self, message: u32, endpoint: u32, remaining: f64, limit: f64) {
         self.complete_attempt_with_limit(
             message,
             endpoint,
--- a/tests/common/shared_destination.rs
+++ b/tests/common/shared_destination.rs
@@ -31,22 +31,22 @@
     /// Requests a second that the destination serves when it is warmed up.
     pub capacity: f64,
     /// Capacity in the endpoint list, over the true one.
-    pub advertised: f64,
+    pub advertised_capacity_ratio: f64,
     /// Messages a second, over the capacity.
-    pub load: f64,
+    pub load_ratio: f64,
     /// Messages that a request may carry.
-    pub batch: usize,
+    pub max_batch: usize,
     pub seed: u64,
 }
 
 /// Results of a run.
 pub struct Measurement {
     /// Most requests in an overload window by instances that saw the outage, over what the destination survives.
-    pub peak: f64,
+    pub peak_overload_ratio: f64,
     /// Part of the messages submitted since the recovery that were delivered.
-    pub delivered: f64,
+    pub delivered_ratio: f64,
     /// Requests delivered over the whole run, over what the limit allows.
-    pub used: f64,
+    pub limit_utilization: f64,
 }
 
 /// Exponent of the Zipf distribution of messages over instances: at 0 even, at 1 a few have most.
@@ -129,7 +129,11 @@
     }
     let delivered = simulation.delivered as f64 / simulation.since_recovery.len().max(1) as f64;
     let passed = (simulation.now - simulation.outage_start + BEFORE_OUTAGE).as_secs_f64();
-    Measurement { peak, delivered, used: simulation.all_delivered as f64 / (scenario.capacity * passed) }
+    Measurement {
+        peak_overload_ratio: peak,
+        delivered_ratio: delivered,
+        limit_utilization: simulation.all_delivered as f64 / (scenario.capacity * passed),
+    }
 }
 
 fn settings_for(scenario: &Scenario) -> Settings {
@@ -149,7 +153,7 @@
             ..Class::default()
         }],
         instance_count: scenario.instances,
-        kinds: vec![Kind { max_batch: scenario.batch, per_endpoint_limits: false }],
+        kinds: vec![Kind { max_batch: scenario.max_batch, per_endpoint_limits: false }],
         concurrency_limit: 4,
         max_queued: 48,
         rules,
@@ -161,7 +165,10 @@
     fn new(scenario: Scenario) -> Self {
         let settings = settings_for(&scenario);
         let start = Time::ZERO + Duration::from_secs(100);
-        let listed = Endpoint { weight: scenario.capacity * scenario.advertised, ..endpoint(ENDPOINT.0, 1) };
+        let listed = Endpoint {
+            weight: scenario.capacity * scenario.advertised_capacity_ratio,
+            ..endpoint(ENDPOINT.0, 1)
+        };
         let shares: Vec<f64> = (0..scenario.instances).map(|n| f64::from(n + 1).powf(-SKEW)).collect();
         let all: f64 = shares.iter().sum();
         let instance = |(number, share): (usize, &f64)| {
@@ -210,7 +217,7 @@
 
     fn submit(&mut self) {
         let recovered = self.now >= self.outage_end;
-        let all = self.scenario.capacity * self.scenario.load * STEP.as_secs_f64();
+        let all = self.scenario.capacity * self.scenario.load_ratio * STEP.as_secs_f64();
         for instance in &mut self.instances {
             if self.chance.f64() >= all * instance.part {
                 continue;
--- a/tests/delivery_policy.rs
+++ b/tests/delivery_policy.rs
@@ -6,7 +6,7 @@
     Action, AttemptOutcome, Class, ClassId, DeliveryPolicy, DestinationId, Endpoint, EndpointListUpdate,
     EndpointState, Event, Group, Kind, MessageId, Rules, Settings, Submission, Tenant, TenantId, ZoneId,
 };
-use common::{endpoint, keyed, ms, safe, settings, unsafe_class, Harness, Sent};
+use common::{endpoint, keyed_class, ms, safe_class, settings, unsafe_class, Harness, Sent};
 use std::time::Duration;
 
 const MAYBE_RAN: [AttemptOutcome; 4] =
@@ -30,7 +30,7 @@
 
 #[test]
 fn message_without_endpoint_is_rejected_by_its_deadline() {
-    let mut harness = Harness::new(settings(vec![keyed()]), vec![]);
+    let mut harness = Harness::new(settings(vec![keyed_class()]), vec![]);
     harness.submit(1, 0, 1, None);
     let deadline = harness.now + harness.settings.classes[0].deadline;
     assert_eq!(
@@ -61,7 +61,7 @@
 
 #[test]
 fn keyed_message_is_retried_inside_its_window_only() {
-    let mut harness = one(keyed());
+    let mut harness = one(keyed_class());
     harness.submit(1, 0, 1, None);
     let sent = harness.now;
     assert_eq!(harness.next_sends().len(), 1);
@@ -86,7 +86,7 @@
 fn keyed_message_is_retried_in_the_zone_of_its_first_attempt() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
-    let class = Class { group: Group::Zone, ..keyed() };
+    let class = Class { group: Group::Zone, ..keyed_class() };
     let mut harness = Harness::new(settings(vec![class]), vec![endpoint(7, 1), other.clone()]);
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].endpoint;
@@ -104,7 +104,7 @@
     let mean_gap = |failures: u32| {
         let gaps: Vec<u64> = (0..40)
             .map(|seed| {
-                let mut harness = one(safe());
+                let mut harness = one(safe_class());
                 harness.policy = DeliveryPolicy::new(harness.settings.clone(), seed);
                 harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(vec![endpoint(7, 1)])));
                 harness.submit(1, 0, 1, None);
@@ -128,7 +128,7 @@
 
 #[test]
 fn retry_window_of_a_message_from_a_lost_instance_starts_at_submission() {
-    let mut harness = one(keyed());
+    let mut harness = one(keyed_class());
     let class = harness.settings.classes[0].clone();
     harness.on_event(Event::Submitted(Submission {
         id: MessageId(1),
@@ -147,7 +147,7 @@
 #[test]
 fn draining_and_removed_endpoints_get_no_new_requests() {
     for mode in [EndpointState::Draining, EndpointState::Removed] {
-        let mut harness = Harness::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+        let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![Endpoint {
             state: mode,
             ..endpoint(7, 1)
@@ -156,7 +156,7 @@
         let routes = harness.next_sends();
         assert!(!routes.is_empty() && routes.iter().all(|sent| sent.endpoint == 8));
     }
-    let mut harness = Harness::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
+    let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1)]);
     harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(vec![endpoint(8, 1)])));
     harness.submit(1, 0, 1, None);
     assert_eq!(harness.next_sends()[0].endpoint, 8);
@@ -164,7 +164,7 @@
 
 #[test]
 fn retry_after_binds_all_messages_of_the_destination() {
-    let mut harness = Harness::new(settings(vec![safe()]), vec![endpoint(7, 1), endpoint(8, 1)]);
+    let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].endpoint;
     harness.complete_attempt(1, first, AttemptOutcome::Rejected(Some(ms(800))), ms(20));
@@ -178,7 +178,7 @@
 /// Incident ie8d4eb: a `Retry-After` of the first outcomes of a batched request was dropped.
 #[test]
 fn retry_after_of_any_message_of_a_request_is_kept() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let mut harness = Harness::new(
         Settings { kinds: vec![Kind { max_batch: 5, per_endpoint_limits: false }], ..base },
         vec![endpoint(7, 1)],
@@ -216,7 +216,7 @@
 
 #[test]
 fn destination_in_outage_gets_single_probes_and_a_slow_start() {
-    let mut harness = one(safe());
+    let mut harness = one(safe_class());
     (0..390).for_each(|id| harness.submit(id, 0, 1, None));
     for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
         harness.complete_attempt(id, to, AttemptOutcome::ConnectFailed, ms(10));
@@ -292,8 +292,8 @@
 
 #[test]
 fn load_shedding_rejects_messages_of_least_priority() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), rich]);
     let mut harness = Harness::new(Settings { max_queued: 20, ..base }, vec![]);
     (0..10).for_each(|id| harness.submit(id, 0, 1, None));
     (10..20).for_each(|id| harness.submit(id, 1, 1, None));
@@ -304,7 +304,7 @@
 
 #[test]
 fn free_slot_goes_to_the_destination_with_fewest_requests_in_flight() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let mut harness = Harness::new(
         Settings { concurrency_limit: 4, ..base },
         vec![endpoint(1, 1), endpoint(2, 2), endpoint(3, 3)],
@@ -319,7 +319,7 @@
 
 #[test]
 fn request_carries_a_batch_where_the_kind_allows_it() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let kinds = vec![Kind { max_batch: 5, per_endpoint_limits: false }];
     let mut harness = Harness::new(Settings { concurrency_limit: 1, kinds, ..base }, vec![endpoint(7, 1)]);
     (0..8).for_each(|id| harness.submit(id, 0, 1, None));
@@ -329,7 +329,7 @@
 /// Incident i10b789: while latency was high the time-outs stayed short, and retries met first attempts still running.
 #[test]
 fn attempt_timeout_grows_with_timeouts() {
-    let mut harness = one(safe());
+    let mut harness = one(safe_class());
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].timeout;
     let mut last = first;
@@ -352,7 +352,7 @@
 
 #[test]
 fn events_for_unknown_ids_are_ignored() {
-    let mut harness = one(safe());
+    let mut harness = one(safe_class());
     harness.complete_attempt(99, 7, AttemptOutcome::Ok, ms(5));
     harness.complete_attempt(99, 98, AttemptOutcome::Rejected(Some(ms(5))), ms(5));
     harness.on_event(Event::Cancelled(MessageId(99)));
@@ -363,7 +363,7 @@
 
 #[test]
 fn clock_jump_completes_all_messages() {
-    let mut harness = one(keyed());
+    let mut harness = one(keyed_class());
     (0..5).for_each(|id| harness.submit(id, 0, 1, None));
     harness.next_sends();
     harness.now = harness.now + Duration::from_secs(100_000);
@@ -373,7 +373,7 @@
 
 #[test]
 fn messages_over_quota_are_shed_first() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let tenants = vec![Tenant { quota: 0.6 }, Tenant { quota: 1000.0 }];
     let mut harness =
         Harness::new(Settings { max_queued: 40, tenants, over_quota_weight: 0.1, ..base }, vec![]);
@@ -405,7 +405,7 @@
 
 #[test]
 fn retry_after_binds_one_route_with_per_endpoint_limits() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let kinds = vec![Kind { max_batch: 1, per_endpoint_limits: true }];
     let mut harness = Harness::new(Settings { kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
     harness.submit(1, 0, 1, None);
@@ -422,7 +422,7 @@
 fn instances_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
         .map(|seed| {
-            let mut harness = Harness::new(settings(vec![safe()]), vec![]);
+            let mut harness = Harness::new(settings(vec![safe_class()]), vec![]);
             harness.policy = DeliveryPolicy::new(harness.settings.clone(), seed);
             harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(vec![
                 endpoint(7, 1),
@@ -455,7 +455,7 @@
 #[test]
 fn message_without_attempts_left_is_rejected_at_once() {
     let mut harness = one(unsafe_class());
-    harness.restart(Settings { max_attempts: 1, ..harness.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    harness.replace_policy(Settings { max_attempts: 1, ..harness.settings.clone() }, 1, vec![endpoint(7, 1)]);
     harness.submit(1, 0, 1, None);
     harness.next_sends();
     harness.complete_attempt(1, 7, AttemptOutcome::Rejected(None), ms(20));
@@ -468,7 +468,7 @@
 /// have this outcome, those on new ones succeed. Returns how often idle connections were closed before use.
 fn closes_after(outcome: AttemptOutcome, count: u32) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
-    let mut harness = Harness::new(settings(vec![safe()]), all);
+    let mut harness = Harness::new(settings(vec![safe_class()]), all);
     let mut id = 0;
     let mut call = |harness: &mut Harness, to: u32, outcome: AttemptOutcome| {
         id += 1;
@@ -496,8 +496,8 @@
 #[test]
 fn single_lost_request_opens_no_outage() {
     let next_send = |outcome: AttemptOutcome| {
-        let mut harness = one(safe());
-        harness.restart(
+        let mut harness = one(safe_class());
+        harness.replace_policy(
             Settings { instance_count: 100, ..harness.settings.clone() },
             1,
             vec![endpoint(7, 1)],
@@ -517,14 +517,14 @@
 #[test]
 fn rejections_with_capacity_remaining_count_as_an_outage() {
     let sends_after = |left: f64| {
-        let mut harness = one(safe());
+        let mut harness = one(safe_class());
         (0..200).for_each(|id| harness.submit(id, 0, 1, None));
         let mut sends = 0;
         let began = harness.now;
         while harness.now - began < Duration::from_secs(4) {
             for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
                 sends += 1;
-                harness.reject(id, to, left, 100.0);
+                harness.reject_with_limit(id, to, left, 100.0);
             }
             harness.now = harness.now + ms(50);
         }
@@ -536,7 +536,7 @@
 /// Requests that hang take the slots of others: with none left, the oldest one is abandoned.
 #[test]
 fn stalled_request_is_abandoned_when_all_slots_are_taken() {
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let mut harness =
         Harness::new(Settings { concurrency_limit: 2, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     (0..2).for_each(|id| harness.submit(id, 0, 1 + id as u16, None));
@@ -549,8 +549,8 @@
 /// A slot goes to the message of highest priority, not to the first destination of the list.
 #[test]
 fn ties_between_destinations_are_broken_by_priority() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), rich]);
     let mut harness =
         Harness::new(Settings { concurrency_limit: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     harness.submit(1, 0, 1, None);
@@ -563,8 +563,8 @@
 fn low_traffic_instances_probe_a_destination_in_outage_seldom() {
     let mut probes = 0;
     for seed in 0..100 {
-        let mut harness = one(safe());
-        harness.restart(
+        let mut harness = one(safe_class());
+        harness.replace_policy(
             Settings { instance_count: 400, ..harness.settings.clone() },
             seed,
             vec![endpoint(7, 1)],
@@ -589,8 +589,12 @@
 /// With hundreds of instances, a fair share of a limit is a request in minutes: it must not hold back messages.
 #[test]
 fn low_traffic_instance_sends_at_once_before_any_rejection() {
-    let mut harness = one(safe());
-    harness.restart(Settings { instance_count: 400, ..harness.settings.clone() }, 1, vec![endpoint(7, 1)]);
+    let mut harness = one(safe_class());
+    harness.replace_policy(
+        Settings { instance_count: 400, ..harness.settings.clone() },
+        1,
+        vec![endpoint(7, 1)],
+    );
     for id in 0..10 {
         harness.submit(id, 0, 1, None);
         assert_eq!(harness.next_sends().len(), 1);
@@ -603,7 +607,7 @@
 #[test]
 fn one_rejection_slows_batched_requests_to_one_an_objective() {
     let sends_after_a_refusal = |batch: usize, seconds: u64| {
-        let base = settings(vec![safe()]);
+        let base = settings(vec![safe_class()]);
         let kinds = vec![Kind { max_batch: batch, per_endpoint_limits: false }];
         let mut harness = Harness::new(Settings { instance_count: 400, kinds, ..base }, vec![endpoint(7, 1)]);
         harness.submit(1, 0, 1, None);
@@ -628,8 +632,8 @@
 #[test]
 fn low_traffic_instances_rejected_together_retry_at_different_times() {
     let back_after = |seed: u64| {
-        let mut harness = one(safe());
-        harness.restart(
+        let mut harness = one(safe_class());
+        harness.replace_policy(
             Settings { instance_count: 200, ..harness.settings.clone() },
             seed,
             vec![endpoint(7, 1)],
@@ -643,18 +647,18 @@
     };
     let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
     gaps.sort_unstable();
-    let objective = safe().latency_objective;
+    let objective = safe_class().latency_objective;
     assert!(gaps[39] - gaps[0] > objective, "from {:?} to {:?}, objective {objective:?}", gaps[0], gaps[39]);
 }
 
 /// What can no longer be retried completes in the same turn: a backoff that ends after the retry window is in vain.
 #[test]
 fn message_without_time_for_a_retry_is_completed_at_once() {
-    let class = Class { retry_window: ms(1000), ..keyed() };
+    let class = Class { retry_window: ms(1000), ..keyed_class() };
     let mut given_up = 0;
     for seed in 0..40 {
         let mut harness = one(class.clone());
-        harness.restart(harness.settings.clone(), seed, vec![endpoint(7, 1)]);
+        harness.replace_policy(harness.settings.clone(), seed, vec![endpoint(7, 1)]);
         harness.submit(1, 0, 1, None);
         harness.next_sends();
         // The window ends, less its margin, 40 ms later.
@@ -677,7 +681,7 @@
 #[test]
 fn rejected_client_is_told_when_to_retry() {
     let retry_after = |max_retry_after: Option<Duration>| {
-        let base = settings(vec![safe()]);
+        let base = settings(vec![safe_class()]);
         let mut harness =
             Harness::new(Settings { max_queued: 20, max_retry_after, ..base }, vec![endpoint(7, 1)]);
         harness.submit(100, 0, 1, None);
@@ -698,8 +702,8 @@
 /// sede: messages for partners in an outage filled the queue, and messages for healthy ones were rejected.
 #[test]
 fn load_shedding_rejects_messages_for_unhealthy_destinations_first() {
-    let rich = Class { priority_weight: 5.0, ..safe() };
-    let base = settings(vec![safe(), rich]);
+    let rich = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), rich]);
     let settings = Settings { max_queued: 20, concurrency_limit: 1, ..base };
     let mut harness = Harness::new(settings, vec![endpoint(1, 1), endpoint(2, 2)]);
     for id in 100..102 {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use cloverstile::{Action, Discovery, EndpointListUpdate, Event, Settings};
-use common::{endpoint, ms, safe, settings, Harness};
+use common::{endpoint, ms, safe_class, settings, Harness};
 use std::time::Duration;
 
 fn harness(discovery: Discovery, seed: u64) -> Harness {
-    let base = Settings { discovery, ..settings(vec![safe()]) };
+    let base = Settings { discovery, ..settings(vec![safe_class()]) };
     let mut harness = Harness::new(base.clone(), vec![]);
-    harness.restart(base, seed, vec![endpoint(7, 1)]);
+    harness.replace_policy(base, seed, vec![endpoint(7, 1)]);
     harness
 }
 
--- a/tests/many_instances.rs
+++ b/tests/many_instances.rs
@@ -6,7 +6,7 @@
     Action, AttemptOutcome, Class, ClassId, Endpoint, Event, Kind, MessageId, Settings, Submission, Tenant,
     TenantId, WeightSource, ZoneId,
 };
-use common::{endpoint, ms, safe, settings, Harness, Sent};
+use common::{endpoint, ms, safe_class, settings, Harness, Sent};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     let all: Vec<Endpoint> = (1..=destinations).map(|d| endpoint(d, d as u16)).collect();
     let settings = Settings { instance_count: 300, ..base };
     let mut harness = Harness::new(settings.clone(), vec![]);
-    harness.restart(settings, seed, all);
+    harness.replace_policy(settings, seed, all);
     harness
 }
 
@@ -28,7 +28,7 @@
 fn comes_back_soon(harness: &mut Harness, id: u32, to: u32, (left, limit): (f64, f64)) -> bool {
     harness.submit(id, 0, to as u16, None);
     assert_eq!(harness.next_sends().len(), 1);
-    harness.reject(id, to, left, limit);
+    harness.reject_with_limit(id, to, left, limit);
     harness.run_until_action(Duration::from_secs(8)).iter().any(|a| matches!(a, Action::Send { .. }))
 }
 
@@ -52,7 +52,7 @@
 /// riga: 46% of the attempts at one kind met a connection limit that other instances' idle connections used up.
 #[test]
 fn connection_limit_pressure_closes_idle_connections_after_use() {
-    let mut harness = one_of_many(settings(vec![safe()]), 20);
+    let mut harness = one_of_many(settings(vec![safe_class()]), 20);
     let quiet: usize = (1..=9).map(|to| closes(&call(&mut harness, to, to, AttemptOutcome::Ok))).sum();
     assert_eq!(quiet, 0);
     call(&mut harness, 10, 10, AttemptOutcome::ConnectFailed);
@@ -63,7 +63,7 @@
 /// A busy instance's connection is not idle for long, and a new one for each message costs time and work.
 #[test]
 fn connection_in_steady_use_stays_open_under_connection_limit_pressure() {
-    let mut harness = one_of_many(settings(vec![safe()]), 2);
+    let mut harness = one_of_many(settings(vec![safe_class()]), 2);
     call(&mut harness, 1, 1, AttemptOutcome::ConnectFailed);
     (2..200).for_each(|id| drop(call(&mut harness, id, 2, AttemptOutcome::Ok)));
     let busy: usize = (200..220).map(|id| closes(&call(&mut harness, id, 2, AttemptOutcome::Ok))).sum();
@@ -73,7 +73,7 @@
 /// One failed connection may be due to a connection limit: the next one decides whether it is an outage.
 #[test]
 fn second_failed_connection_opens_an_outage_and_the_first_does_not() {
-    let mut harness = one_of_many(settings(vec![safe()]), 1);
+    let mut harness = one_of_many(settings(vec![safe_class()]), 1);
     for id in 1..=2 {
         assert!(
             !call(&mut harness, id, 1, AttemptOutcome::ConnectFailed).is_empty(),
@@ -87,7 +87,7 @@
 /// sede: a fifth of the requests was abandoned at three times the latency assumed at the start.
 #[test]
 fn overall_latency_is_used_before_the_first_response_of_a_route() {
-    let base = Settings { concurrency_limit: 2, ..settings(vec![safe()]) };
+    let base = Settings { concurrency_limit: 2, ..settings(vec![safe_class()]) };
     let mut harness = one_of_many(base, 30);
     for id in 1..=20 {
         harness.submit(id, 0, id as u16, None);
@@ -106,7 +106,7 @@
 #[test]
 fn small_tenant_is_within_quota_with_many_instances() {
     let tenants = vec![Tenant { quota: 120.0 }, Tenant { quota: 900.0 }];
-    let base = settings(vec![safe()]);
+    let base = settings(vec![safe_class()]);
     let mut harness = one_of_many(
         Settings { max_queued: 20, tenants, over_quota_weight: 0.1, instance_count: 300, ..base },
         0,
@@ -128,12 +128,12 @@
 #[test]
 fn instances_prefer_different_routes_and_spread_requests_with_per_endpoint_limits() {
     let kinds = vec![Kind { max_batch: 1, per_endpoint_limits: true }];
-    let base = Settings { kinds, ..settings(vec![safe()]) };
+    let base = Settings { kinds, ..settings(vec![safe_class()]) };
     let all = vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)];
     let mut chosen = BTreeSet::new();
     for seed in 0..30 {
         let mut harness = Harness::new(base.clone(), vec![]);
-        harness.restart(base.clone(), seed, all.clone());
+        harness.replace_policy(base.clone(), seed, all.clone());
         (0..3).for_each(|id| harness.submit(id, 0, 1, None));
         let sent = harness.next_sends();
         chosen.insert(sent[0].endpoint);
@@ -148,13 +148,13 @@
     let sends = |left: f64| {
         let mut sends = 0;
         for seed in 0..40 {
-            let mut harness = seeded(settings(vec![safe()]), 1, seed);
+            let mut harness = seeded(settings(vec![safe_class()]), 1, seed);
             harness.submit(1, 0, 1, None);
             let began = harness.now;
-            while harness.now - began < safe().deadline {
+            while harness.now - began < safe_class().deadline {
                 for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
                     sends += 1;
-                    harness.reject(id, to, left, 100.0);
+                    harness.reject_with_limit(id, to, left, 100.0);
                 }
                 harness.now = harness.now + ms(50);
             }
@@ -168,7 +168,8 @@
 /// Without an advertised rate nothing but a rejection limits it: a busy instance is not held to a guess.
 #[test]
 fn unadvertised_rate_does_not_limit_before_a_rejection() {
-    let mut harness = one_of_many(Settings { weights: WeightSource::Silent, ..settings(vec![safe()]) }, 1);
+    let mut harness =
+        one_of_many(Settings { weights: WeightSource::Silent, ..settings(vec![safe_class()]) }, 1);
     for id in 0..100 {
         harness.submit(id, 0, 1, None);
         assert_eq!(harness.next_sends().len(), 1, "message {id}");
@@ -181,7 +182,7 @@
 #[test]
 fn new_message_with_short_deadline_has_full_value_where_retries_are_marked() {
     let order = |marks_again: bool| {
-        let falling = Class { late_value_ratio: 0.1, ..safe() };
+        let falling = Class { late_value_ratio: 0.1, ..safe_class() };
         let base =
             Settings { concurrency_limit: 1, clients_mark_retries: marks_again, ..settings(vec![falling]) };
         let mut harness = one_of_many(base, 2);
@@ -200,7 +201,7 @@
 fn instances_rejected_without_a_limit_do_not_retry_together() {
     let mut soon = 0;
     for seed in 0..70 {
-        let silent = Settings { weights: WeightSource::Silent, ..settings(vec![safe()]) };
+        let silent = Settings { weights: WeightSource::Silent, ..settings(vec![safe_class()]) };
         soon += usize::from(comes_back_soon(&mut seeded(silent, 1, seed), 1, 1, (0.0, 0.0)));
     }
     assert!(soon <= 14, "{soon} of 70 instances came back within 8 s");
@@ -210,11 +211,11 @@
 #[test]
 fn endpoint_in_the_own_zone_is_preferred() {
     for seed in 0..20 {
-        let base = Settings { zone: ZoneId(1), ..settings(vec![safe()]) };
+        let base = Settings { zone: ZoneId(1), ..settings(vec![safe_class()]) };
         let far = endpoint(7, 1);
         let near = Endpoint { zone: ZoneId(1), ..endpoint(8, 1) };
         let mut harness = Harness::new(base.clone(), vec![]);
-        harness.restart(base, seed, vec![far, near]);
+        harness.replace_policy(base, seed, vec![far, near]);
         harness.submit(1, 0, 1, None);
         assert_eq!(harness.next_sends()[0].endpoint, 8);
     }
@@ -227,13 +228,13 @@
     let soon = |learned: bool| {
         let mut soon = 0;
         for seed in 0..40 {
-            let mut harness = seeded(settings(vec![safe()]), 20, seed);
+            let mut harness = seeded(settings(vec![safe_class()]), 20, seed);
             for id in 1..=if learned { 15 } else { 0 } {
                 harness.submit(id, 0, id as u16, None);
                 assert_eq!(harness.next_sends().len(), 1);
-                harness.reject(id, id, 0.0, 100.0);
+                harness.reject_with_limit(id, id, 0.0, 100.0);
                 while let [Action::Send { .. }] = harness.run_until_action(Duration::from_secs(25))[..] {
-                    harness.reject(id, id, 0.0, 100.0);
+                    harness.reject_with_limit(id, id, 0.0, 100.0);
                 }
             }
             soon += usize::from(comes_back_soon(&mut harness, 100, 20, (0.0, 100.0)));
--- a/tests/overload_collapse.rs
+++ b/tests/overload_collapse.rs
@@ -5,16 +5,16 @@
 
 use cloverstile::{AttemptOutcome, Class, Endpoint, Rules, Settings};
 use common::shared_destination::{simulate, Outage, Scenario};
-use common::{endpoint, ms, safe, settings, Harness, Sent};
+use common::{endpoint, ms, safe_class, settings, Harness, Sent};
 use std::time::Duration;
 
 const BASE: Scenario = Scenario {
     outage: Outage::Down,
     instances: 200,
     capacity: 60.0,
-    advertised: 1.0,
-    load: 0.8,
-    batch: 1,
+    advertised_capacity_ratio: 1.0,
+    load_ratio: 0.8,
+    max_batch: 1,
     seed: 1,
 };
 
@@ -28,12 +28,20 @@
                 scenario.outage,
                 scenario.instances,
                 scenario.capacity,
-                scenario.advertised,
-                scenario.batch,
-                scenario.load
+                scenario.advertised_capacity_ratio,
+                scenario.max_batch,
+                scenario.load_ratio
+            );
+            assert!(
+                seen.peak_overload_ratio <= 1.0,
+                "{case}: {:.2} of what it survives",
+                seen.peak_overload_ratio
+            );
+            assert!(
+                seen.delivered_ratio * scenario.load_ratio > 0.05,
+                "{case}: only {:.2} delivered",
+                seen.delivered_ratio
             );
-            assert!(seen.peak <= 1.0, "{case}: {:.2} of what it survives", seen.peak);
-            assert!(seen.delivered * scenario.load > 0.05, "{case}: only {:.2} delivered", seen.delivered);
         }
     }
 }
@@ -45,7 +53,7 @@
     let small = Scenario { capacity: 20.0, ..closed };
     let tiny = Scenario { capacity: 6.0, ..closed };
     let few = Scenario { instances: 20, ..small };
-    assert_within_budget(&[closed, small, tiny, few, Scenario { load: 1.5, ..closed }]);
+    assert_within_budget(&[closed, small, tiny, few, Scenario { load_ratio: 1.5, ..closed }]);
 }
 
 /// Found by search (h562547): queued messages of each instance set the lowest rate after rejections, and added up.
@@ -54,14 +62,14 @@
     let shut = Scenario { outage: Outage::Closed, ..BASE };
     let small = Scenario { capacity: 20.0, ..shut };
     let tiny = Scenario { capacity: 12.0, ..shut };
-    let hot = Scenario { load: 4.0, ..small };
+    let hot = Scenario { load_ratio: 4.0, ..small };
     assert_within_budget(&[
         shut,
         small,
         tiny,
         hot,
-        Scenario { load: 1.5, ..shut },
-        Scenario { batch: 20, ..shut },
+        Scenario { load_ratio: 1.5, ..shut },
+        Scenario { max_batch: 20, ..shut },
     ]);
 }
 
@@ -70,9 +78,9 @@
 fn probes_and_slow_starts_share_one_recovery_budget() {
     for outage in [Outage::Down, Outage::Hangs] {
         let base = Scenario { outage, ..BASE };
-        let hot = Scenario { load: 1.5, ..base };
-        let hotter = Scenario { load: 4.0, capacity: 20.0, ..base };
-        let listed_too_high = Scenario { advertised: 1.5, ..base };
+        let hot = Scenario { load_ratio: 1.5, ..base };
+        let hotter = Scenario { load_ratio: 4.0, capacity: 20.0, ..base };
+        let listed_too_high = Scenario { advertised_capacity_ratio: 1.5, ..base };
         let tiny = Scenario { capacity: 6.0, ..base };
         let few = Scenario { instances: 20, capacity: 20.0, ..base };
         assert_within_budget(&[
@@ -82,7 +90,7 @@
             listed_too_high,
             tiny,
             few,
-            Scenario { batch: 20, ..base },
+            Scenario { max_batch: 20, ..base },
         ]);
     }
 }
@@ -95,8 +103,8 @@
     for instances in [100, 300] {
         for seed in 1..=3 {
             let scenario =
-                Scenario { outage: Outage::None, instances, capacity: 100.0, load: 1.3, seed, ..BASE };
-            let used = simulate(scenario).used;
+                Scenario { outage: Outage::None, instances, capacity: 100.0, load_ratio: 1.3, seed, ..BASE };
+            let used = simulate(scenario).limit_utilization;
             // 0.73 to 0.80 before, 0.85 to 0.95 since.
             assert!(used > 0.82, "{instances} instances, seed {seed}: {used:.2} of the limit used");
         }
@@ -107,14 +115,14 @@
 /// of these, many times what the partner survives while it warms up.
 #[test]
 fn short_deadline_of_one_class_does_not_hasten_probes() {
-    let hurried = Class { deadline: Duration::from_secs(6), ..safe() };
-    let base = settings(vec![hurried, safe()]);
+    let hurried = Class { deadline: Duration::from_secs(6), ..safe_class() };
+    let base = settings(vec![hurried, safe_class()]);
     let rules = Rules { overload_multiple: 1.5, warm_up_capacity: 0.26, ..base.rules.clone() };
     let base = Settings { instance_count: 300, rules, ..base };
     let mut sends = 0;
     for seed in 0..100 {
         let mut harness = Harness::new(base.clone(), vec![]);
-        harness.restart(base.clone(), seed, vec![Endpoint { weight: 5.0, ..endpoint(7, 1) }]);
+        harness.replace_policy(base.clone(), seed, vec![Endpoint { weight: 5.0, ..endpoint(7, 1) }]);
         harness.submit(1, 1, 1, None);
         let began = harness.now;
         while harness.now - began < Duration::from_secs(14) {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -7,7 +7,7 @@
     Action, AttemptOutcome, Class, DeliveryPolicy, Effect, Endpoint, EndpointListUpdate, EndpointState,
     Event, Kind, KindId, MessageId, Rules, Settings, Time,
 };
-use common::{endpoint, keyed, ms, safe, settings, unsafe_class, Harness};
+use common::{endpoint, keyed_class, ms, safe_class, settings, unsafe_class, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 
 fn world() -> (Settings, Vec<Endpoint>) {
     let in_order = Class { ordered: true, ..unsafe_class() };
-    let base = settings(vec![keyed(), unsafe_class(), safe(), in_order]);
+    let base = settings(vec![keyed_class(), unsafe_class(), safe_class(), in_order]);
     let kinds = vec![
         Kind { max_batch: 1, per_endpoint_limits: false },
         Kind { max_batch: 3, per_endpoint_limits: false },
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -6,7 +6,7 @@
     Action, AttemptOutcome, Class, ClassId, DeliveryPolicy, Endpoint, EndpointListUpdate, Event, MessageId,
     RecoveredAttempts, Settings, Time, WeightSource,
 };
-use common::{endpoint, keyed, ms, safe, settings, submission, unsafe_class, Harness};
+use common::{endpoint, keyed_class, ms, safe_class, settings, submission, unsafe_class, Harness};
 use std::time::Duration;
 
 /// Message 1 of class 0 is recovered with this past by a policy just started.
@@ -23,7 +23,7 @@
 
 #[test]
 fn recovered_message_without_attempts_is_sent() {
-    for class in [keyed(), unsafe_class(), safe()] {
+    for class in [keyed_class(), unsafe_class(), safe_class()] {
         assert_eq!(recovered(&class, fresh, None).next_sends().len(), 1);
     }
 }
@@ -40,7 +40,7 @@
 
 #[test]
 fn recovered_keyed_message_is_retried_inside_its_window_only() {
-    let class = keyed();
+    let class = keyed_class();
     let past = |since: Duration| {
         move |now: Time| RecoveredAttempts {
             attempts: 1,
@@ -58,15 +58,15 @@
 fn recovery_restores_attempt_count() {
     let cap = Settings::default().max_attempts;
     let past = |attempts| move |now| RecoveredAttempts { attempts, ..fresh(now) };
-    assert_eq!(recovered(&keyed(), past(cap - 1), None).next_sends().len(), 1);
-    let mut used_up = recovered(&keyed(), past(cap), None);
+    assert_eq!(recovered(&keyed_class(), past(cap - 1), None).next_sends().len(), 1);
+    let mut used_up = recovered(&keyed_class(), past(cap), None);
     let actions = used_up.next_actions();
     assert!(matches!(actions[0], Action::Reject { message: MessageId(1), .. }), "{actions:?}");
 }
 
 #[test]
 fn restart_lets_every_key_cool_down() {
-    let class = Class { ordered: true, ..keyed() };
+    let class = Class { ordered: true, ..keyed_class() };
     let past =
         |now| RecoveredAttempts { attempts: 1, may_have_run: Some((now - ms(700), None)), ..fresh(now) };
     let mut harness = recovered(&class, past, Some(5));
--- a/tests/round_robin.rs
+++ b/tests/round_robin.rs
@@ -5,7 +5,7 @@
 use cloverstile::{
     AttemptOutcome, Endpoint, EndpointListUpdate, EndpointState, Event, Kind, KindId, Settings,
 };
-use common::{endpoint, ms, safe, settings, Harness};
+use common::{endpoint, ms, safe_class, settings, Harness};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -36,10 +36,10 @@
         Kind { max_batch: 1, per_endpoint_limits: false },
         Kind { max_batch: 1, per_endpoint_limits: true },
     ];
-    let settings = Settings { kinds, instance_count: 300, ..settings(vec![safe()]) };
+    let settings = Settings { kinds, instance_count: 300, ..settings(vec![safe_class()]) };
     let mut harness = Harness::new(settings.clone(), Vec::new());
     // Adjacent seeds begin alike.
-    harness.restart(settings, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), endpoints);
+    harness.replace_policy(settings, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), endpoints);
     harness
 }
 
--- a/tests/send_permission.rs
+++ b/tests/send_permission.rs
@@ -6,7 +6,7 @@
     retry_window_end, Action, AttemptOutcome, Class, ClassId, Endpoint, EndpointId, EndpointListUpdate,
     EndpointState, Event, MessageId,
 };
-use common::{endpoint, keyed, ms, safe, settings, submission, unsafe_class, Harness};
+use common::{endpoint, keyed_class, ms, safe_class, settings, submission, unsafe_class, Harness};
 use std::time::Duration;
 
 /// An event between scheduling and sending.
@@ -70,13 +70,13 @@
         let class = Class {
             deadline: Duration::from_secs(60),
             latency_objective: Duration::from_secs(20),
-            ..keyed()
+            ..keyed_class()
         };
         let mut harness = on_its_way(class);
         happens(&mut harness);
         assert!(!harness.policy.may_send_now(harness.now, MessageId(1)), "{name}");
     }
-    let mut harness = on_its_way(keyed());
+    let mut harness = on_its_way(keyed_class());
     harness.on_event(Event::RetryAfter { endpoint: EndpointId(8), wait: ms(600) });
     assert!(harness.policy.may_send_now(harness.now, MessageId(1)), "that was another destination");
     harness.on_event(Event::Cancelled(MessageId(1)));
@@ -86,7 +86,7 @@
 /// A probe is sent because of the outage: that the outage lasts is no reason against it.
 #[test]
 fn probe_may_be_sent_during_its_outage() {
-    let mut harness = Harness::new(settings(vec![safe()]), vec![endpoint(7, 1)]);
+    let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1)]);
     for id in 1..9 {
         harness.submit(id, 0, 1, None);
         let sent = harness.run_until_action(Duration::from_secs(20));
@@ -99,7 +99,7 @@
 
 #[test]
 fn retry_is_blocked_after_its_window_and_a_first_attempt_is_not() {
-    let class = Class { deadline: Duration::from_secs(60), ..keyed() };
+    let class = Class { deadline: Duration::from_secs(60), ..keyed_class() };
     let mut harness = Harness::new(settings(vec![class.clone()]), vec![endpoint(7, 1)]);
     harness.submit(1, 0, 1, None);
     assert_eq!(harness.next_sends().len(), 1);
@@ -151,9 +151,9 @@
 /// A process may be held up for 0.15 s between its check of the window and its write: every window leaves room for that.
 #[test]
 fn retry_window_leaves_room_for_a_hold_up() {
-    let sent = Harness::new(settings(vec![keyed()]), vec![]).now;
+    let sent = Harness::new(settings(vec![keyed_class()]), vec![]).now;
     for (window, end) in [(8000, 7200), (1500, 1350), (600, 450), (100, 0)] {
-        let class = Class { retry_window: ms(window), ..keyed() };
+        let class = Class { retry_window: ms(window), ..keyed_class() };
         assert_eq!(retry_window_end(&class, sent), sent + ms(end), "a window of {window} ms");
     }
 }
--- a/tests/stalled_requests.rs
+++ b/tests/stalled_requests.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use cloverstile::{Action, AttemptOutcome, Event, MessageId, Settings, Time};
-use common::{endpoint, keyed, ms, settings, unsafe_class, Harness, Sent};
+use common::{endpoint, keyed_class, ms, settings, unsafe_class, Harness, Sent};
 use std::time::Duration;
 
 /// Seen on sockets (rate+silent+leave): single connections fell silent at every destination. Each then had as many
@@ -58,7 +58,7 @@
 /// longer, until nearly all slots were held by such.
 #[test]
 fn overtaken_requests_are_no_latency_samples() {
-    let mut harness = Harness::new(settings(vec![keyed()]), vec![endpoint(7, 1)]);
+    let mut harness = Harness::new(settings(vec![keyed_class()]), vec![endpoint(7, 1)]);
     let mut id = 0;
     let mut waits = Vec::new();
     for _ in 0..20 {
