--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,20 +1,21 @@
-//! Admission: accepted messages, their quotas and deadlines, final answers, and load shedding.
+//! Admission: accepted messages, tenant quotas, deadlines, final outcomes and load shedding.
 
 use crate::interface::{
     Action, DestinationId, Effect, MessageId, RecoveredAttempts, Submission, TenantId, Time,
 };
 use crate::policy_state::{
-    instance_count, routes_of, warm_up_s, FirstSend, Message, PolicyState, QuotaBalance, RouteState,
+    instance_count, route_range, warm_up_s, FirstSend, Message, PolicyState, QuotaBalance, RouteState,
 };
 use std::time::Duration;
 
-/// Part of a tenant's quota assumed to be this instance's, in fair shares; traffic is not even.
+/// This instance's share of a tenant's quota, in fair shares; above 1 because traffic is spread unevenly.
 const QUOTA_FAIR_SHARES: f64 = 1.25;
-/// Share of the messages that may be queued above which those of least priority are shed.
+/// Fraction of `max_queued` above which the messages of lowest priority are shed.
 const SHED_THRESHOLD: f64 = 0.93;
 
-/// A message that may be shed: one for a healthy destination, then of higher priority, then older is kept.
-struct Sheddable {
+/// A message that may be shed. Messages for healthy destinations are kept first, then those of higher
+/// priority, then older ones.
+struct ShedCandidate {
     healthy: bool,
     priority: f64,
     id: MessageId,
@@ -23,52 +24,59 @@
 impl PolicyState {
     pub fn on_submitted(&mut self, now: Time, submission: Submission) {
         let Some(class) = self.settings.classes.get(usize::from(submission.class.0)) else { return };
-        // Where clients mark resubmitted messages, a new one with little time left is not an old one.
+        // If clients mark resubmissions, an unmarked message is new, however little time its deadline leaves.
         let marked = self.settings.clients_mark_retries;
         let new = marked && !submission.resubmitted && !submission.from_lost_instance;
         let submitted_at = if new { now } else { (submission.deadline - class.deadline).min(now) };
-        // A keyed message of a lost instance may have run there at any time since it was submitted.
+        // A lost instance may have sent a keyed message at any time since its submission.
         let may_have_run = submission.from_lost_instance && class.effect == Effect::Keyed;
         let (id, destination, tenant) = (submission.id, submission.destination, submission.tenant);
         self.enqueue(&submission);
         self.record_demand(now, destination, warm_up_s(&self.settings));
         let mut message = Message::new(submission, submitted_at, now);
-        message.over_quota = self.is_over_quota(now, tenant);
+        message.over_quota = self.exceeds_quota(now, tenant);
         message.first_may_have_run = may_have_run.then_some(FirstSend { sent_at: submitted_at, zone: None });
         self.messages.insert(id, message);
     }
 
-    /// Attempts of an earlier process may still run, also of messages that nobody knows any longer: every key
-    /// cools down.
+    /// Attempts of an earlier process may still be running, even for messages that are no longer known, so a
+    /// cooldown applies to every order key.
     pub fn on_restarted(&mut self, now: Time) {
         self.all_keys_cooldown = now + self.settings.rules.key_cooldown;
     }
 
-    /// A restart forgives nothing: attempts used stay used, and the window runs from the first one that may
-    /// have run. What can never go again is answered at once.
-    pub fn on_recovered(&mut self, now: Time, submission: Submission, past: RecoveredAttempts) {
+    /// Attempts made before the restart still count, and the retry window still starts at the first attempt
+    /// that may have run. A message that can't be sent again gets its final outcome at once.
+    pub fn on_recovered(&mut self, now: Time, submission: Submission, recovered: RecoveredAttempts) {
         let id = submission.id;
         self.on_submitted(now, submission);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        message.restore(past);
+        message.restore(recovered);
         let Some(message) = self.messages.get(&id) else { return };
-        self.set_deadline(self.last_send_time(message).max(now).min(message.submission.deadline), id);
+        self.schedule_expiry_check(
+            self.last_send_time(message).max(now).min(message.submission.deadline),
+            id,
+        );
     }
 
-    /// Whether a tenant is past its quota for all instances together: what passes the part assumed to be this
-    /// instance's, saved up over the warm-up time (a second's is under one message), is over quota.
-    fn is_over_quota(&mut self, now: Time, tenant: TenantId) -> bool {
+    /// Consumes one message of a tenant's quota and returns whether the quota was already used up. The quota
+    /// applies to all instances together: the bucket of this one refills at its assumed share and holds the
+    /// share of a whole warm-up time, as the share of one second can be less than one message.
+    fn exceeds_quota(&mut self, now: Time, tenant: TenantId) -> bool {
         let Some(quota) = self.settings.tenants.get(tenant.0 as usize).map(|t| t.quota) else { return false };
-        let part = (QUOTA_FAIR_SHARES / instance_count(&self.settings)).min(1.0);
-        let most = quota * part * warm_up_s(&self.settings);
-        let balance =
-            self.quota_balances.entry(tenant).or_insert(QuotaBalance { messages: most, refilled_at: now });
-        balance.refill(now, quota, part, most);
+        let share = (QUOTA_FAIR_SHARES / instance_count(&self.settings)).min(1.0);
+        let max_balance = quota * share * warm_up_s(&self.settings);
+        let balance = self
+            .quota_balances
+            .entry(tenant)
+            .or_insert(QuotaBalance { messages: max_balance, refilled_at: now });
+        balance.refill(now, quota, share, max_balance);
         !balance.take_one()
     }
 
-    /// The final answer that a message may be given now; none while an attempt may still deliver it.
-    fn permitted_final_answer(&self, now: Time, id: MessageId) -> Option<Action> {
+    /// The final outcome that a message may get now; none if it is completed. A message that is not safe to
+    /// repeat is rejected only if no attempt may have run and none is in flight; otherwise it fails.
+    fn permitted_final_outcome(&self, now: Time, id: MessageId) -> Option<Action> {
         let message = self.messages.get(&id).filter(|message| !message.completed)?;
         let rejectable = match self.class(message).effect {
             Effect::Safe => true,
@@ -79,49 +87,51 @@
         Some(if rejectable { rejection } else { Action::Fail { message: id } })
     }
 
-    /// How long a client had better stay away: until this instance may next send to the destination.
-    fn client_retry_after(&self, now: Time, to: DestinationId) -> Duration {
-        let available = |route: &RouteState| {
+    /// `Retry-After` for the client: the time until this instance may next send to the destination.
+    fn client_retry_after(&self, now: Time, destination: DestinationId) -> Duration {
+        let available_at = |route: &RouteState| {
             route.retry_after_until.max(route.outage.as_ref().map_or(now, |outage| outage.next_probe))
         };
-        let soonest = self.routes.range(routes_of(to)).map(|(_, route)| available(route)).min();
+        let soonest = self.routes.range(route_range(destination)).map(|(_, route)| available_at(route)).min();
         soonest.map_or(Duration::ZERO, |at| at - now).min(self.settings.max_retry_after.unwrap_or_default())
     }
 
-    fn finish(&mut self, now: Time, id: MessageId) {
-        self.actions.extend(self.permitted_final_answer(now, id));
+    fn finish_message(&mut self, now: Time, id: MessageId) {
+        self.actions.extend(self.permitted_final_outcome(now, id));
         self.complete(id);
     }
 
-    /// Every message has a deadline that answers it in time; one in flight is left half of the answer grace.
-    pub fn expire_due(&mut self, now: Time) {
-        while let Some(id) = self.take_due(now) {
+    /// Gives messages that are due their final outcome. One that is in flight at its deadline may wait for
+    /// its response for half of the answer grace.
+    pub fn expire_due_messages(&mut self, now: Time) {
+        while let Some(id) = self.pop_due_expiry_check(now) {
             let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
             let grace_end = message.submission.deadline + self.settings.rules.answer_grace / 2;
             if message.in_flight.is_some() && now < grace_end {
-                self.set_deadline(grace_end, id);
+                self.schedule_expiry_check(grace_end, id);
             } else {
-                self.finish(now, id);
+                self.finish_message(now, id);
             }
         }
     }
 
-    /// Nearly full: what waits for an outage and what has least priority goes before new messages do.
+    /// Sheds load when the queue is nearly full, so that new messages need not be refused: messages for
+    /// destinations in an outage first, then those of lowest priority.
     pub fn shed_load(&mut self, now: Time) {
-        let most = (self.settings.max_queued as f64 * SHED_THRESHOLD) as usize;
-        while self.open_messages > most {
-            let waits = |m: &&Message| !m.completed && m.in_flight.is_none() && !m.is_recovered_untried();
-            let ranked = self.messages.values().filter(waits).map(|message| Sheddable {
+        let max_messages = (self.settings.max_queued as f64 * SHED_THRESHOLD) as usize;
+        while self.open_messages > max_messages {
+            let eligible = |m: &&Message| !m.completed && m.in_flight.is_none() && !m.is_recovered_untried();
+            let ranked = self.messages.values().filter(eligible).map(|message| ShedCandidate {
                 healthy: self.has_healthy_route(message.submission.destination),
                 priority: self.priority(now, message),
                 id: message.submission.id,
             });
-            let least = ranked.min_by(|a, b| {
+            let lowest = ranked.min_by(|a, b| {
                 let by_priority = a.priority.total_cmp(&b.priority);
                 a.healthy.cmp(&b.healthy).then(by_priority).then(b.id.cmp(&a.id))
             });
-            let Some(least) = least else { return };
-            self.finish(now, least.id);
+            let Some(lowest) = lowest else { return };
+            self.finish_message(now, lowest.id);
         }
     }
 }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,70 +1,71 @@
-//! Completion: what the end of an attempt changes for its message, endpoint, connection and route.
+//! Completion: how the end of an attempt changes the state of its message, endpoint, connection and route.
 
 use super::idle_connections::{PRESSURE_DECAY_GAIN, PRESSURE_GAIN};
-use super::retry::{LONGEST_HOLD_UP, RETRY_BACKOFF};
+use super::retry::{MAX_PROCESS_PAUSE, RETRY_BACKOFF};
 use crate::interface::{AttemptCompleted, AttemptOutcome, EndpointId, OrderKey, Time};
 use crate::policy_state::{update_ewma, FirstSend, InFlightRequest, PolicyState};
 use std::time::Duration;
 
 impl PolicyState {
-    pub fn on_attempt_completed(&mut self, now: Time, done: &AttemptCompleted) {
-        if let AttemptOutcome::Rejected(Some(wait)) = done.outcome {
-            self.on_retry_after(now, done.endpoint, wait);
+    pub fn on_attempt_completed(&mut self, now: Time, attempt: &AttemptCompleted) {
+        if let AttemptOutcome::Rejected(Some(wait)) = attempt.outcome {
+            self.on_retry_after(now, attempt.endpoint, wait);
         }
-        let Some(message) = self.messages.get_mut(&done.message) else { return };
+        let Some(message) = self.messages.get_mut(&attempt.message) else { return };
         let Some(request_id) = message.in_flight.take() else { return };
         let Some(request) = self.requests.get(&request_id) else { return };
         let class = &self.settings.classes[usize::from(message.submission.class.0)];
-        if done.outcome.may_have_run() && message.first_may_have_run.is_none() {
+        if attempt.outcome.may_have_run() && message.first_may_have_run.is_none() {
             message.first_may_have_run =
                 Some(FirstSend { sent_at: request.sent_at, zone: Some(request.zone) });
         }
-        if done.outcome == AttemptOutcome::NotStarted {
+        if attempt.outcome == AttemptOutcome::NotStarted {
             message.attempts -= 1;
         } else {
-            let gap = RETRY_BACKOFF.gap(class.latency_objective, message.attempts);
-            message.not_before = now + gap.mul_f64(self.rng.f64());
+            let delay = RETRY_BACKOFF.delay(class.latency_objective, message.attempts);
+            message.not_before = now + delay.mul_f64(self.rng.f64());
         }
-        // After an attempt that may still be running, its key cools down before the next message of the key.
-        if let (true, true, Some(key)) = (done.outcome.is_lost(), class.ordered, message.submission.key) {
-            self.start_key_cooldown(now, key, done.outcome);
+        // An attempt that may still be running starts the cooldown of its key before the key's next message.
+        if let (true, true, Some(key)) = (attempt.outcome.is_lost(), class.ordered, message.submission.key) {
+            self.start_key_cooldown(now, key, attempt.outcome);
         }
-        // Only a request's last outcome counts for the route: its messages share its outcome.
+        // The messages of a batch share one outcome, so the route records it once, with the last of them.
         if let Some(request) = self.take_completed_request(request_id) {
-            self.on_request_completed(now, &request, done);
+            self.on_request_completed(now, &request, attempt);
         }
-        if done.complete {
-            self.complete(done.message);
-        } else if let Some(message) = self.messages.get(&done.message) {
-            // What can never be sent again is answered at once: it would take up the queue and block its key.
+        if attempt.complete {
+            self.complete(attempt.message);
+        } else if let Some(message) = self.messages.get(&attempt.message) {
+            // A message that can't be sent again completes now; it would only occupy the queue and block its
+            // key.
             let end = self.last_send_time(message);
             let due = if message.not_before > end { now } else { end.max(now) };
-            self.set_deadline(due, done.message);
+            self.schedule_expiry_check(due, attempt.message);
         }
-        self.forget_if_done(done.message);
+        self.remove_if_finished(attempt.message);
     }
 
-    /// The cooldown begins with the end of the attempt's connection: a broken one has ended, any other ends
-    /// behind this decision.
+    /// The cooldown starts when the connection of the attempt has ended. A reset connection already has; any
+    /// other is closed only after this decision, which a pause of the process may delay.
     fn start_key_cooldown(&mut self, now: Time, key: OrderKey, outcome: AttemptOutcome) {
         let has_ended = outcome == AttemptOutcome::Reset;
-        let until_ended = if has_ended { Duration::ZERO } else { LONGEST_HOLD_UP };
+        let max_time_to_end = if has_ended { Duration::ZERO } else { MAX_PROCESS_PAUSE };
         self.key_cooldowns.retain(|_, until| *until > now);
-        self.key_cooldowns.insert(key, now + until_ended + self.settings.rules.key_cooldown);
+        self.key_cooldowns.insert(key, now + max_time_to_end + self.settings.rules.key_cooldown);
     }
 
     /// Records the outcome of a request for its endpoint, connection and route.
-    fn on_request_completed(&mut self, now: Time, request: &InFlightRequest, done: &AttemptCompleted) {
-        let lost = done.outcome.is_lost();
+    fn on_request_completed(&mut self, now: Time, request: &InFlightRequest, attempt: &AttemptCompleted) {
+        let lost = attempt.outcome.is_lost();
         let idle_as_long = |idle| idle >= self.idle_risk.shortest_stale_idle;
         let stale =
             lost && self.idle_risk.stale_risk > 0.0 && request.connection_idle.is_some_and(idle_as_long);
         if !(lost && request.stalled) {
-            self.record_connection_outcome(now, request.connection_idle, done.outcome);
+            self.record_connection_outcome(now, request.connection_idle, attempt.outcome);
         }
-        self.update_endpoint(now, request.endpoint, done.outcome, stale);
+        self.update_endpoint(now, request.endpoint, attempt.outcome, stale);
         if !stale {
-            self.update_route(now, done, request);
+            self.update_route(now, attempt, request);
         }
     }
 
@@ -82,7 +83,7 @@
             _ if stale => {}
             AttemptOutcome::ConnectFailed => {
                 let since = *endpoint.connect_failing_since.get_or_insert(now);
-                // A first failure may lack room; what goes on failing for an overload window is down.
+                // A first failure may be a connection limit; failing for an overload window is an outage.
                 if since == now || now - since > self.settings.rules.overload_window {
                     update_ewma(&mut kind.connection_limit_pressure, f64::from(since == now), PRESSURE_GAIN);
                 }
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,11 +1,11 @@
-//! Discovery: updates of the endpoint list, and when to subscribe to them.
+//! Discovery: applies updates of the endpoint list and schedules subscriptions to it.
 
 use super::rate_limiting::UNADVERTISED_RATE;
 use crate::interface::{Discovery, Endpoint, EndpointListUpdate, EndpointState, Time, WeightSource};
 use crate::policy_state::{Backoff, EndpointRecord, PolicyState, RouteState};
 
-/// Gap before subscribing, in discovery intervals; full jitter.
-const SUBSCRIBE_BACKOFF: Backoff = Backoff { first: 0.5, longest: 1.5 };
+/// Delay before subscribing, in discovery intervals; with full jitter.
+const SUBSCRIBE_BACKOFF: Backoff = Backoff { initial: 0.5, max: 1.5 };
 
 impl PolicyState {
     pub fn on_endpoint_list(&mut self, now: Time, update: EndpointListUpdate) {
@@ -15,15 +15,16 @@
         }
     }
 
-    /// Without a subscription no drain is announced. All instances start at once and the list serves a few:
-    /// they subscribe spread over half of what the rules let pass, and after a failure later still.
+    /// Schedules a subscription, as drains are announced only to subscribers. All instances start at once and
+    /// the discovery service handles a few at a time, so they spread out over half of the discovery interval,
+    /// and over more of it after a failure.
     fn schedule_subscription(&mut self, now: Time, failed: bool) {
-        let first = self.endpoints.is_empty();
+        let is_first = self.endpoints.is_empty();
         self.failed_subscriptions = if failed { self.failed_subscriptions + 1 } else { 0 };
-        if self.settings.discovery == Discovery::Ask && (failed || first) {
-            let gap =
-                SUBSCRIBE_BACKOFF.gap(self.settings.rules.discovery_interval, self.failed_subscriptions);
-            self.subscribe_at = Some(now + gap.mul_f64(self.rng.f64()));
+        if self.settings.discovery == Discovery::Ask && (failed || is_first) {
+            let delay =
+                SUBSCRIBE_BACKOFF.delay(self.settings.rules.discovery_interval, self.failed_subscriptions);
+            self.subscribe_at = Some(now + delay.mul_f64(self.rng.f64()));
         }
     }
 
@@ -37,7 +38,7 @@
             let rate = if advertised { limit } else { UNADVERTISED_RATE };
             RouteState { rate, tokens: 1.0, refilled_at: now, last_success: now, ..RouteState::default() }
         });
-        // Where the list advertises none, the limit that responses advertised stays.
+        // If the endpoint list advertises no limit, the one that responses advertised stays in force.
         route.advertised_limit = if advertised { limit } else { route.advertised_limit };
         (route.max_batch, route.kind) = (max_batch, entry.kind);
         route.one_at_a_time = entry.state == EndpointState::OneAtATime;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,17 +1,18 @@
-//! Dispatch: fills the free request slots.
+//! Dispatch: assigns the free request slots.
 
-use super::rate_limiting::RECENT_S;
+use super::rate_limiting::RECENT_WINDOW_S;
 use crate::interface::{EndpointId, MessageId, Time};
 use crate::policy_state::{Candidate, InFlightRequest, PolicyState, RouteId, WakeTime};
 
 impl PolicyState {
-    /// Fills free slots, each for the waiting destination with fewest requests in flight; of equal ones
-    /// for the one whose best message has most value for its time. `wake` is when to look again.
+    /// Assigns each free slot to the waiting destination with the fewest requests in flight; ties go to the
+    /// destination whose best message has the highest value per second of slot time. `wake` receives the time
+    /// at which to try again.
     pub fn dispatch_ready(&mut self, now: Time, wake: &mut WakeTime) {
         let mut ready: Vec<Candidate> = Vec::new();
         if self.slots_free() > 0 {
-            for to in self.queues.keys().copied().collect::<Vec<_>>() {
-                ready.extend(self.candidate_for(now, to, wake));
+            for destination in self.queues.keys().copied().collect::<Vec<_>>() {
+                ready.extend(self.candidate_for(now, destination, wake));
             }
         }
         while self.slots_free() > 0 {
@@ -19,16 +20,16 @@
             let order = |a: &Candidate, b: &Candidate| {
                 in_flight(a).cmp(&in_flight(b)).then(b.value_rate.total_cmp(&a.value_rate))
             };
-            let Some(place) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
-            // Slots were taken since: what was available may not be so now.
-            let to = ready.swap_remove(place).route.destination;
-            let Some(candidate) = self.candidate_for(now, to, wake) else { continue };
+            let Some(index) = (0..ready.len()).min_by(|a, b| order(&ready[*a], &ready[*b])) else { break };
+            // Slots were taken since the candidate was chosen, so its route may no longer be available.
+            let destination = ready.swap_remove(index).route.destination;
+            let Some(candidate) = self.candidate_for(now, destination, wake) else { continue };
             self.send_request(now, candidate.route, candidate.endpoint, candidate.message);
-            ready.extend(self.candidate_for(now, to, wake));
+            ready.extend(self.candidate_for(now, destination, wake));
         }
     }
 
-    /// One request: the message that was selected and, where a request may carry more, others that wait.
+    /// Sends one request with the selected message and, up to the batch limit, other messages that wait.
     fn send_request(&mut self, now: Time, id: RouteId, to: EndpointId, first: MessageId) {
         let connection_idle = self.prepare_connection(now, to, first);
         let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
@@ -37,11 +38,11 @@
         self.advance_round_robin(now, id, to);
         let Some(route) = self.routes.get_mut(&id) else { return };
         route.tokens -= f64::from(!route.only_rate_limited);
-        route.sent_recently.rate(now, RECENT_S, 1.0);
+        route.sent_recently.rate(now, RECENT_WINDOW_S, 1.0);
         let (mut max_batch, is_probe) = (route.max_batch, route.outage.is_some());
         if let Some(outage) = &mut route.outage {
             outage.probes_sent += 1;
-            // What is only rejected comes back unharmed, so that a probe may carry all that a request can.
+            // Rejected messages can be sent again, so without lost requests a probe may carry a full batch.
             max_batch = if outage.requests_lost { 1 } else { max_batch };
         }
         route.schedule_probe(now, &self.settings, self.rng.f64());
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Health: outages of routes, probes, slow start after an outage, failing endpoints and stalled requests.
+//! Health: route outages, probes, slow start after an outage, failing endpoints and stalled requests.
 
 use super::rate_limiting::SATURATION_GAIN;
 use crate::interface::{AttemptCompleted, AttemptOutcome, EndpointId, Settings, Time};
@@ -8,63 +8,64 @@
 };
 use std::time::Duration;
 
-/// Least weight of the newest latency in the running mean; the first few weigh more.
+/// Minimum weight of the newest latency sample in the moving average; the first few samples weigh more.
 const LATENCY_GAIN: f64 = 0.15;
-/// A request is stalled after so many latencies, at least this part of the shortest objective; pauses pass.
-const STALL_LATENCIES: f64 = 3.0;
-const STALL_OBJECTIVES: f64 = 0.25;
-/// Gap between probes, in overload windows; jittered.
-const PROBE_BACKOFF: Backoff = Backoff { first: 0.1, longest: 0.6 };
-/// Shortest part of a gap that chance may leave: those that failed together must not come back together.
+/// A request is stalled after this multiple of the route's latency, but not before `MIN_STALL_OBJECTIVES` of
+/// the shortest latency objective, so that short pauses of a destination don't count.
+const STALL_LATENCY_MULTIPLE: f64 = 3.0;
+const MIN_STALL_OBJECTIVES: f64 = 0.25;
+/// Delay between probes, in overload windows; jittered.
+const PROBE_BACKOFF: Backoff = Backoff { initial: 0.1, max: 0.6 };
+/// Minimum fraction of a delay left by jitter: instances that failed together must not return together.
 const MIN_PROBE_JITTER: f64 = 0.25;
-/// A failure that lasted less than this part of the overload window is transient: it needs no slow start.
+/// A failure shorter than this fraction of the overload window is transient and needs no slow start.
 const TRANSIENT_FAILURE_WINDOWS: f64 = 0.6;
-/// Failure score that opens an outage, and what each outcome adds: a lost request, an error or no connection
-/// hints at one (two in a row, as a low-traffic instance has few), single rejections are normal.
+/// Failure score that opens an outage, and what each outcome adds. Two lost requests, errors or failed
+/// connections in a row open one, as a low-traffic instance sees few requests; single rejections are normal.
 const OUTAGE_SCORE: u32 = 6;
 const LOST_REQUEST_SCORE: u32 = 3;
 const REJECTION_SCORE: u32 = 1;
-/// A rejection with more than this share of the limit remaining has another cause than the limit.
-const CAPACITY_REMAINING: f64 = 0.3;
+/// A rejection with more than this fraction of the rate limit remaining is not caused by the limit.
+const MIN_SPARE_CAPACITY: f64 = 0.3;
 
 impl PolicyState {
-    /// Updates latency, rate and outage of a route with the outcome of one request.
-    pub fn update_route(&mut self, now: Time, done: &AttemptCompleted, request: &InFlightRequest) {
+    /// Updates the latency, rate and outage of a route with the outcome of one request.
+    pub fn update_route(&mut self, now: Time, attempt: &AttemptCompleted, request: &InFlightRequest) {
         let stall_timeout = self.stall_timeout(request.route);
-        let (settings, chance) = (&self.settings, self.rng.f64());
+        let (settings, random) = (&self.settings, self.rng.f64());
         let queued = self.queued_per_route(request.route.destination);
-        let feedback = RouteFeedback { now, settings, chance, queued, rate_limit: done.rate_limit };
+        let feedback = RouteFeedback { now, settings, random, queued, rate_limit: attempt.rate_limit };
         let Some(route) = self.routes.get_mut(&request.route) else { return };
         let kind = self.kind_stats.entry(route.kind).or_default();
         route.advertised_limit = feedback.advertised().map_or(route.advertised_limit, |status| status.limit);
-        // A time-out is a sample too, else retries would meet first attempts that still run. Not one that was
-        // overtaken: it was lost with its connection, and would teach ever longer time-outs.
-        let timed_out = matches!(done.outcome, AttemptOutcome::Timeout | AttemptOutcome::Abandoned);
-        if done.outcome == AttemptOutcome::Ok || (timed_out && !route.overtook(request, stall_timeout)) {
-            route.latency.record_with_prior(self.overall_latency, done.latency, LATENCY_GAIN);
+        // Time-outs count as samples, else retries would start while first attempts still run. A request that
+        // was lost with its connection (the route succeeded later) doesn't: it would only raise the time-out.
+        let timed_out = matches!(attempt.outcome, AttemptOutcome::Timeout | AttemptOutcome::Abandoned);
+        if attempt.outcome == AttemptOutcome::Ok || (timed_out && !route.has_lost(request, stall_timeout)) {
+            route.latency.record_with_prior(self.overall_latency, attempt.latency, LATENCY_GAIN);
         }
-        // With a success since it was sent, a lost request says nothing of the route. Nor do errors or resets
-        // while an endpoint is left that did not fail; silence does, as a hang mostly takes all.
+        // A lost request says nothing about the route if the route succeeded after it was sent. Errors and
+        // resets don't either while some endpoint has not failed; silence does, as a hang mostly affects all.
         let no_success_since = request.sent_at >= route.last_success;
         let mut endpoints = route.endpoints.iter().filter_map(|id| self.endpoints.get(id));
         let accepts = |endpoint: &EndpointRecord| endpoint.entry.state.accepts_new_requests();
         let any_healthy = endpoints.any(|endpoint| accepts(endpoint) && endpoint.consecutive_failures == 0);
         let transient = transient_failure_limit(settings);
-        match done.outcome {
+        match attempt.outcome {
             AttemptOutcome::Ok => {
-                self.overall_latency.record(done.latency, LATENCY_GAIN);
+                self.overall_latency.record(attempt.latency, LATENCY_GAIN);
                 return route.on_success(kind, &feedback);
             }
             AttemptOutcome::Rejected(Some(wait)) if wait > transient => {
-                return route.reopen_after_wait(chance)
+                return route.reopen_after_wait(random)
             }
             AttemptOutcome::Rejected(_) => {
-                // With capacity remaining inside the limit, it is shut or hangs with its queue full.
-                let remains = feedback.remaining().is_some_and(|remaining| remaining > CAPACITY_REMAINING);
-                route.failure_score += if remains { LOST_REQUEST_SCORE } else { REJECTION_SCORE };
+                // With capacity left in its limit, the destination is closed or hangs with its queue full.
+                let spare = feedback.remaining().is_some_and(|remaining| remaining > MIN_SPARE_CAPACITY);
+                route.failure_score += if spare { LOST_REQUEST_SCORE } else { REJECTION_SCORE };
                 route.reduce_rate(kind, &feedback);
             }
-            // A rate set since was meant for what is still to be sent.
+            // The rate set since then accounts for requests still to be sent: no token is refunded.
             AttemptOutcome::NotStarted if route.blocked_since(now, request) => return,
             AttemptOutcome::NotStarted => return route.tokens += 1.0,
             AttemptOutcome::Error | AttemptOutcome::Reset if any_healthy => {}
@@ -72,26 +73,26 @@
             _ if no_success_since => route.failure_score += LOST_REQUEST_SCORE,
             _ => {}
         }
-        route.open_outage(&feedback, !matches!(done.outcome, AttemptOutcome::Rejected(_)));
+        route.open_outage(&feedback, !matches!(attempt.outcome, AttemptOutcome::Rejected(_)));
     }
 
-    /// An endpoint that fails comes last for a random gap, which grows up to the warm-up time.
+    /// Deprioritizes a failing endpoint for a random delay, growing with each failure to the warm-up time.
     pub fn deprioritize(&mut self, now: Time, endpoint: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else { return };
         endpoint.consecutive_failures += 1;
         let rules = &self.settings.rules;
-        let longest = rules.warm_up_time.as_secs_f64() / rules.overload_window.as_secs_f64();
-        let backoff = Backoff { longest, ..PROBE_BACKOFF };
-        let gap = backoff.gap(rules.overload_window, endpoint.consecutive_failures);
-        endpoint.deprioritized_until = now + gap.mul_f64(self.rng.f64());
+        let max = rules.warm_up_time.as_secs_f64() / rules.overload_window.as_secs_f64();
+        let backoff = Backoff { max, ..PROBE_BACKOFF };
+        let delay = backoff.delay(rules.overload_window, endpoint.consecutive_failures);
+        endpoint.deprioritized_until = now + delay.mul_f64(self.rng.f64());
     }
 
-    /// Marks the requests that have been silent for too long; `wake` is when the next one will have been.
+    /// Marks requests without a response for too long as stalled; `wake` receives the time of the next check.
     pub fn mark_stalled_requests(&mut self, now: Time, wake: &mut WakeTime) {
         for id in self.unstalled_requests() {
             let at = self.requests[&id].sent_at + self.stall_timeout(self.requests[&id].route);
             if at > now {
-                wake.by(Some(at));
+                wake.no_later_than(Some(at));
             } else if let Some(request) = self.requests.get_mut(&id) {
                 request.stalled = true;
                 let idle = request.connection_idle;
@@ -101,8 +102,8 @@
     }
 
     pub fn stall_timeout(&self, route: RouteId) -> Duration {
-        let usual = self.latency(route).scaled(STALL_LATENCIES);
-        Duration::from_secs_f64(usual.max(shortest_objective_s(&self.settings) * STALL_OBJECTIVES))
+        let scaled = self.latency(route).scaled(STALL_LATENCY_MULTIPLE);
+        Duration::from_secs_f64(scaled.max(shortest_objective_s(&self.settings) * MIN_STALL_OBJECTIVES))
     }
 }
 
@@ -113,8 +114,8 @@
         let unhealthy = self.outage.is_some() || self.recovering_since.is_some();
         self.served_rate = if unhealthy { served.max(self.served_rate) } else { served };
         self.served.count += 1.0;
-        // A destination without success for a while may be warming up: it has a slow start. Counting from its
-        // last success covers instances that saw only the end of an outage.
+        // A destination may be warming up after an outage, so a slow start begins unless it was transient;
+        // measured from the last success, so that it includes instances that saw only the outage's end.
         let limit = transient_failure_limit(settings);
         if self.outage.as_ref().is_some_and(|o| o.failure_seen && now - o.started_at > limit) {
             self.recovering_since = Some(now);
@@ -130,26 +131,26 @@
         self.last_success = now;
     }
 
-    /// Shut, and advertised until when: all that were rejected come back at one moment. So the slow start
-    /// begins there, at a random time inside a request of its rate, with no tokens saved up before.
-    fn reopen_after_wait(&mut self, chance: f64) {
+    /// All rejected instances would return at the advertised time, so the slow start begins there, with no
+    /// tokens saved up before and a random delay of up to one request at its rate.
+    fn reopen_after_wait(&mut self, random: f64) {
         (self.outage, self.recovering_since) = (None, Some(self.retry_after_until));
-        (self.refilled_at, self.tokens) = (self.retry_after_until, chance);
+        (self.refilled_at, self.tokens) = (self.retry_after_until, random);
     }
 
     fn open_outage(&mut self, feedback: &RouteFeedback, request_lost: bool) {
-        let enough = if self.outage.is_some() { LOST_REQUEST_SCORE } else { OUTAGE_SCORE };
-        if self.failure_score >= enough {
+        let threshold = if self.outage.is_some() { LOST_REQUEST_SCORE } else { OUTAGE_SCORE };
+        if self.failure_score >= threshold {
             let outage =
                 self.outage.get_or_insert(Outage { started_at: self.last_success, ..Outage::default() });
             outage.failure_seen = true;
             outage.requests_lost |= request_lost;
-            self.schedule_probe(feedback.now, feedback.settings, feedback.chance);
+            self.schedule_probe(feedback.now, feedback.settings, feedback.random);
             self.recovering_since = None;
         }
     }
 
-    /// Opens an outage on silence alone: hung destinations answer nothing, long before a time-out tells so.
+    /// Opens an outage on silence alone: a hung destination sends no response, and time-outs come much later.
     pub fn open_silent_outage(&mut self, now: Time, oldest_sent: Option<Time>, stall_timeout: Duration) {
         let (None, Some(sent)) = (&self.outage, oldest_sent) else { return };
         if now - sent.max(self.last_success) > stall_timeout {
@@ -158,25 +159,25 @@
         }
     }
 
-    /// Whether a `Retry-After` came, or an outage began or ended, since a request was scheduled.
+    /// Whether a `Retry-After` arrived, or an outage began or ended, since a request was scheduled.
     pub fn blocked_since(&self, now: Time, request: &InFlightRequest) -> bool {
         let failed = !request.is_probe && self.outage.as_ref().is_some_and(|outage| outage.failure_seen);
         let recovering = self.recovering_since.is_some_and(|since| since > request.sent_at);
         failed || self.retry_after_until > now || recovering
     }
 
-    /// Sets when the next probe of an outage may go: at growing, jittered gaps, and by the recovery budget;
-    /// probes that are rejected can also use up a small limit by themselves (i2aa64d).
-    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, chance: f64) {
-        // Memoryless gaps: the probes of low-traffic instances add up to the budget, however they began.
-        let jitter = MIN_PROBE_JITTER + chance * (1.0 - MIN_PROBE_JITTER);
+    /// Schedules the next probe of an outage, with growing, jittered delays and within the recovery budget:
+    /// rejected probes can use up a small rate limit by themselves.
+    pub fn schedule_probe(&mut self, now: Time, settings: &Settings, random: f64) {
+        // Exponential delays make the probes of low-traffic instances add up to the budget, however begun.
+        let jitter = MIN_PROBE_JITTER + random * (1.0 - MIN_PROBE_JITTER);
         let budget = self.recovery_budget(now, settings, 0.0).max(0.001);
-        let drawn = if self.is_low_traffic(now, settings) { -chance.max(0.01).ln() } else { jitter };
-        let own = Duration::from_secs_f64(drawn / budget);
+        let spread = if self.is_low_traffic(now, settings) { -random.max(0.01).ln() } else { jitter };
+        let budget_delay = Duration::from_secs_f64(spread / budget);
         let Some(outage) = &mut self.outage else { return };
-        let gap = PROBE_BACKOFF.gap(settings.rules.overload_window, outage.probes_sent);
-        // No gap runs out during a `Retry-After`: those that wait together must not come back together.
-        outage.next_probe = now.max(self.retry_after_until) + gap.mul_f64(jitter).max(own);
+        let delay = PROBE_BACKOFF.delay(settings.rules.overload_window, outage.probes_sent);
+        // Counts from the end of the `Retry-After`, so that instances waiting for it don't return together.
+        outage.next_probe = now.max(self.retry_after_until) + delay.mul_f64(jitter).max(budget_delay);
     }
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! The delivery policy: every decision of a gateway instance. `interface` has its events and actions,
-//! `policy_state` the state that it keeps; nothing is decided there.
+//! The delivery policy: every decision of a gateway instance. The types of its events and actions are in
+//! `interface`, and its in-memory state is in `policy_state`; neither makes decisions.
 
 mod admission;
 mod completion;
@@ -18,18 +18,18 @@
 use crate::interface::{Action, Event, MessageId, Settings, Time};
 use crate::policy_state::{shortest_objective_s, LatencyEstimate, PolicyState, WakeTime};
 
-/// Latency assumed before the first response, as a part of the shortest latency objective.
+/// Latency assumed before the first response, as a fraction of the shortest latency objective.
 const INITIAL_LATENCY_OBJECTIVES: f64 = 0.2;
 
-/// The delivery policy of one gateway instance: records events in [`DeliveryPolicy::on_event`], decides in
-/// [`DeliveryPolicy::next_actions`].
+/// The delivery policy of one gateway instance. It records events in [`DeliveryPolicy::on_event`] and makes
+/// its decisions in [`DeliveryPolicy::next_actions`].
 #[derive(Default)]
 pub struct DeliveryPolicy {
     state: PolicyState,
 }
 
 impl DeliveryPolicy {
-    /// A policy that knows only its settings; `seed` is its one source of randomness.
+    /// Creates a policy that has received no events yet; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let latency = shortest_objective_s(&settings) * INITIAL_LATENCY_OBJECTIVES;
         let overall_latency = LatencyEstimate { mean: latency, deviation: latency, samples: 0 };
@@ -37,14 +37,14 @@
         DeliveryPolicy { state: PolicyState { settings, rng, overall_latency, ..PolicyState::default() } }
     }
 
-    /// Records one event. Call [`DeliveryPolicy::next_actions`] after the last one of a batch.
+    /// Records one event. Call [`DeliveryPolicy::next_actions`] after the last event of a batch.
     pub fn on_event(&mut self, now: Time, event: Event) {
         let state = &mut self.state;
         match event {
             Event::EndpointsUpdated(update) => state.on_endpoint_list(now, update),
             Event::Submitted(submission) => state.on_submitted(now, submission),
             Event::Restarted => state.on_restarted(now),
-            Event::Recovered(submission, past) => state.on_recovered(now, submission, past),
+            Event::Recovered(submission, recovered) => state.on_recovered(now, submission, recovered),
             Event::AttemptCompleted(attempt) => state.on_attempt_completed(now, &attempt),
             Event::RetryAfter { endpoint, wait } => state.on_retry_after(now, endpoint, wait),
             Event::Cancelled(id) => state.complete(id),
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Appends the actions that follow from all events recorded, in the order in which to take them.
+    /// Appends the actions that follow from all recorded events, in the order in which to execute them.
     pub fn next_actions(&mut self, now: Time, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         let subscribe = state.subscribe_at.take_if(|at| *at <= now);
         state.actions.extend(subscribe.map(|_| Action::SubscribeEndpoints { active: true }));
-        state.expire_due(now);
+        state.expire_due_messages(now);
         state.shed_load(now);
         let mut wake = WakeTime::default();
         state.mark_stalled_requests(now, &mut wake);
@@ -69,9 +69,10 @@
         actions.append(&mut state.actions);
     }
 
-    /// Whether a scheduled request may still be sent: a connection may come up late, and a `Retry-After`, a
-    /// drain or an outage come before it. To be asked as late as the bytes allow; what may not be sent ends
-    /// as [`crate::AttemptOutcome::NotStarted`], and is sent when it may.
+    /// Whether a scheduled request may still be sent: while it waits for its connection, a `Retry-After`, a
+    /// drain or an outage may forbid it. Call this as late as possible before the first byte is written. If
+    /// it returns false, complete the attempt as [`crate::AttemptOutcome::NotStarted`]; the message is
+    /// retried.
     pub fn may_send_now(&self, now: Time, id: MessageId) -> bool {
         let state = &self.state;
         let Some(message) = state.messages.get(&id).filter(|message| !message.completed) else {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,17 +1,18 @@
-//! Retry: until when and when a message may be sent, with which backoff, and the time-out of an attempt.
+//! Retry: when a message may be sent, the retry backoff, and the time-out of an attempt.
 
 use crate::interface::{Class, Effect, MessageId, Time};
 use crate::policy_state::{Backoff, LatencyEstimate, Message, PolicyState, RouteId};
 use std::time::Duration;
 
 /// Backoff before a retry, in latency objectives of the class; with full jitter.
-pub(super) const RETRY_BACKOFF: Backoff = Backoff { first: 0.05, longest: 0.7 };
-/// A keyed message is not resent in this last part of its window: the request must still arrive inside it.
+pub(super) const RETRY_BACKOFF: Backoff = Backoff { initial: 0.05, max: 0.7 };
+/// A keyed message is not resent in this last fraction of its retry window: the request must arrive inside
+/// it.
 const RETRY_WINDOW_MARGIN: f64 = 0.1;
-/// Shortest such margin: a process may be held up for so long between a reading of its clock and its write.
-pub(super) const LONGEST_HOLD_UP: Duration = Duration::from_millis(150);
-/// Time-out of a repeatable attempt, in latencies (mean and deviation) of its route.
-pub(super) const TIMEOUT_LATENCIES: f64 = 4.0;
+/// Minimum of that margin: a process may be paused for this long between reading its clock and writing.
+pub(super) const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
+/// Time-out of a repeatable attempt, as a multiple of the latency (mean plus deviation) of its route.
+pub(super) const TIMEOUT_LATENCY_MULTIPLE: f64 = 4.0;
 /// Bounds of that time-out, in latency objectives.
 const MIN_TIMEOUT_OBJECTIVES: f64 = 0.5;
 const MAX_TIMEOUT_OBJECTIVES: f64 = 3.0;
@@ -22,13 +23,14 @@
         self.class(message).effect != Effect::Unsafe
     }
 
-    /// Latency of a route; before its first response that over all, as low-traffic instances have few of any.
+    /// Latency of a route. Before its first response, the latency over all routes, as a low-traffic instance
+    /// has few responses from any one route.
     pub fn latency(&self, route: RouteId) -> LatencyEstimate {
         let own = self.routes.get(&route).map(|route| route.latency);
         own.filter(|own| own.samples > 0).unwrap_or(self.overall_latency)
     }
 
-    /// The latest time at which a message may be sent; zero if never again.
+    /// The latest time at which a message may be sent; zero if it may not be sent again.
     pub fn last_send_time(&self, message: &Message) -> Time {
         let (class, deadline) = (self.class(message), message.submission.deadline);
         let finished_attempts = message.attempts - u32::from(message.in_flight.is_some());
@@ -42,7 +44,7 @@
         }
     }
 
-    /// The one gate for every send: when a message may be sent; none if not before some event, or never.
+    /// When a message may be sent; `None` if only after some event, or never. Every send is checked here.
     pub fn sendable_at(&self, now: Time, message: &Message) -> Option<Time> {
         if message.completed || message.in_flight.is_some() || now > self.last_send_time(message) {
             return None;
@@ -52,18 +54,20 @@
         if !self.is_first_of_key(key, message.submission.id) {
             return None;
         }
-        // The cooldown after an unsettled attempt binds the next messages of the key, not the same one.
+        // The cooldown after an attempt that may still run applies to later messages of the key, not to a
+        // retry.
         let cooldown = if message.attempts == 0 { self.cooldown_end(key) } else { Time::ZERO };
         Some(message.not_before.max(cooldown))
     }
 
-    /// Follows the route's own latency; the last possible attempt gets all the time that remains.
+    /// The time-out follows the latency of the route; the last possible attempt gets all the time that
+    /// remains.
     pub fn attempt_timeout(&self, now: Time, route: RouteId, message: MessageId) -> Duration {
         let Some(message) = self.messages.get(&message) else { return Duration::ZERO };
         let class = self.class(message);
         let objective = class.latency_objective.as_secs_f64();
-        let usual = self.latency(route).scaled(TIMEOUT_LATENCIES);
-        let bounded = usual.clamp(objective * MIN_TIMEOUT_OBJECTIVES, objective * MAX_TIMEOUT_OBJECTIVES);
+        let scaled = self.latency(route).scaled(TIMEOUT_LATENCY_MULTIPLE);
+        let bounded = scaled.clamp(objective * MIN_TIMEOUT_OBJECTIVES, objective * MAX_TIMEOUT_OBJECTIVES);
         let timeout = Duration::from_secs_f64(bounded);
         let first_sent = message.first_may_have_run.map_or(now, |first| first.sent_at);
         let is_last = message.attempts + 1 >= self.settings.max_attempts
@@ -78,8 +82,9 @@
     }
 }
 
-/// Until when a keyed message may be resent that may first have run in an attempt sent at `first_sent`.
+/// Until when a keyed message may be resent after `first_sent`, when the first attempt that may have run was
+/// sent. Ends before the retry window by a margin, so that the request still arrives inside it.
 pub fn retry_window_end(class: &Class, first_sent: Time) -> Time {
-    let margin = class.retry_window.mul_f64(RETRY_WINDOW_MARGIN).max(LONGEST_HOLD_UP);
+    let margin = class.retry_window.mul_f64(RETRY_WINDOW_MARGIN).max(MAX_PROCESS_PAUSE);
     first_sent + class.retry_window.saturating_sub(margin)
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,16 +1,17 @@
-//! Selection: which message goes next, by which route, to which endpoint.
+//! Selection: which message to send next, by which route and to which endpoint.
 
-use super::retry::TIMEOUT_LATENCIES;
+use super::retry::TIMEOUT_LATENCY_MULTIPLE;
 use crate::interface::{DestinationId, Effect, Endpoint, EndpointId, Group, Time, WeightSource};
 use crate::policy_state::{
     warm_up_s, Candidate, EndpointRecord, Message, PolicyState, RouteId, SelectedMessage, WakeTime,
 };
 use std::time::Duration;
 
-/// Round robin where an endpoint gets so many requests in an idle time-out of connections: one in 400 lapses.
-const ROUND_ROBIN_REQUESTS: f64 = 6.0;
+/// Round robin is used if an endpoint gets at least this many requests per idle time-out of connections:
+/// about one connection in 400 then closes between two requests.
+const MIN_ROUND_ROBIN_REQUESTS: f64 = 6.0;
 
-/// Rank of an endpoint, by its fields from first to last: the least is chosen.
+/// Rank of an endpoint, compared field by field in this order; the lowest is chosen.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EndpointRank {
     outage: bool,
@@ -22,7 +23,7 @@
     round_robin_position: u64,
 }
 
-/// Rank of a message, by its fields from first to last: the greatest is chosen.
+/// Rank of a message, compared field by field in this order; the highest is chosen.
 #[derive(PartialEq, PartialOrd)]
 struct MessageRank {
     fits_outage: bool,
@@ -31,14 +32,19 @@
 }
 
 impl PolicyState {
-    /// The best message of a destination that may be sent now, by which route and endpoint, and its value for
-    /// the time that a slot is taken; if none, `wake` is when that may be.
-    pub fn candidate_for(&mut self, now: Time, to: DestinationId, wake: &mut WakeTime) -> Option<Candidate> {
-        // Of separate routes the least used one that works goes first, as among the endpoints of a route.
+    /// The best message of a destination that may be sent now, with its route, its endpoint and its value per
+    /// second of slot time. If there is none, `wake` receives the time at which there may be one.
+    pub fn candidate_for(
+        &mut self,
+        now: Time,
+        destination: DestinationId,
+        wake: &mut WakeTime,
+    ) -> Option<Candidate> {
+        // Separate routes are ranked by their best endpoints, as are the endpoints of one route.
         let mut best: Option<Candidate> = None;
-        for route in self.route_ids(to) {
+        for route in self.route_ids(destination) {
             let available_at = self.route_available_at(now, route);
-            wake.by(available_at.filter(|at| *at > now));
+            wake.no_later_than(available_at.filter(|at| *at > now));
             let only_rate_limited = self.routes.get(&route).is_some_and(|route| route.only_rate_limited);
             if available_at.is_none_or(|at| at > now) && !only_rate_limited {
                 continue;
@@ -56,7 +62,8 @@
         best
     }
 
-    /// Fewest requests in flight first, failing ones last, near before far; ties by round robin.
+    /// Prefers endpoints without failures, then those with the fewest requests in flight, then those in the
+    /// zone of this instance; round robin decides ties.
     fn endpoint_rank(&self, now: Time, endpoint: &EndpointRecord) -> EndpointRank {
         let route = self.routes.get(&self.route_of(&endpoint.entry));
         let idle_timeout = self.settings.connection_idle_timeout;
@@ -72,15 +79,18 @@
         }
     }
 
-    /// How far one request moves an endpoint's position: that of a separate route by its advertised limit.
+    /// How far one request advances the round-robin position; weighted by the advertised limit if each
+    /// endpoint has its own route.
     pub fn round_robin_step(&self, entry: &Endpoint) -> u64 {
-        let separate = self.route_of(entry).endpoint.is_some();
-        let weighted = separate && self.settings.weights != WeightSource::Silent;
+        let per_endpoint = self.route_of(entry).endpoint.is_some();
+        let weighted = per_endpoint && self.settings.weights != WeightSource::Silent;
         ((1u64 << 32) as f64 / if weighted { entry.weight.max(0.1) } else { 1.0 }) as u64
     }
 
-    /// An endpoint was sent a request. What was left out (failing, far, not open) owes one request, not all:
-    /// those of all instances would meet at one that recovered. In whole steps, as its random start stays.
+    /// Advances the round-robin position of an endpoint that is sent a request. One that was passed over
+    /// (failing, remote, without an open connection) gets one request of those it missed, not all: the
+    /// instances would all send theirs to an endpoint that recovers. Whole steps keep the random initial
+    /// offset.
     pub fn advance_round_robin(&mut self, now: Time, id: RouteId, to: EndpointId) {
         let front = self.round_robin_front(id.destination);
         let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
@@ -90,24 +100,25 @@
         let Some(route) = self.routes.get_mut(&id) else { return };
         let demand = route.demand_per_endpoint(now, warm_up_s(&self.settings));
         let per_timeout = demand * self.settings.connection_idle_timeout.as_secs_f64();
-        route.prefers_open_connection = pressure || per_timeout < ROUND_ROBIN_REQUESTS;
+        route.prefers_open_connection = pressure || per_timeout < MIN_ROUND_ROBIN_REQUESTS;
     }
 
-    /// The waiting message of highest priority that may go now. A probe goes by whether it may be repeated.
-    /// What an earlier process left untried goes first, and alone beyond the rate when its time is nearly up.
+    /// The waiting message of highest priority that may be sent now; a probe prefers a repeatable one.
+    /// Messages that an earlier process accepted and never attempted go first, and only they may exceed the
+    /// rate, when their deadline is near.
     pub fn select_message(&self, now: Time, id: RouteId, wake: &mut WakeTime) -> Option<SelectedMessage> {
         let route = self.routes.get(&id)?;
-        let usual = Duration::from_secs_f64(self.latency(id).scaled(TIMEOUT_LATENCIES));
+        let timeout = Duration::from_secs_f64(self.latency(id).scaled(TIMEOUT_LATENCY_MULTIPLE));
         let mut best = None;
         for message in self.queued_messages(id.destination) {
             let recovered_untried = message.is_recovered_untried();
             let limited = route.only_rate_limited;
-            let earliest = if limited { message.submission.deadline - usual } else { now };
+            let earliest = if limited { message.submission.deadline - timeout } else { now };
             let at = self.sendable_at(now, message).filter(|_| recovered_untried || !limited);
             let at =
                 at.filter(|_| self.select_endpoint(now, id, message).is_some()).map(|at| at.max(earliest));
             if at.is_none_or(|at| at > now) {
-                wake.by(at);
+                wake.no_later_than(at);
                 continue;
             }
             let fits_outage = route.outage.is_none() || self.is_repeatable(message);
@@ -119,18 +130,18 @@
         best.map(|(rank, id)| SelectedMessage { id, priority: rank.priority })
     }
 
-    /// The best endpoint of a route, inside the group of a retry.
+    /// The best endpoint of a route; a retry stays inside its group.
     fn select_endpoint(&self, now: Time, id: RouteId, message: &Message) -> Option<EndpointId> {
         let class = self.class(message);
         let zone = match (class.effect, class.group, message.first_may_have_run) {
             (Effect::Keyed, Group::Zone, Some(first)) => Some(first.zone?),
             _ => None,
         };
-        let fits = |endpoint: &&EndpointRecord| {
+        let is_eligible = |endpoint: &&EndpointRecord| {
             let accepts = endpoint.entry.state.accepts_new_requests();
             accepts && zone.is_none_or(|zone| endpoint.entry.zone == zone)
         };
         let endpoints = self.routes.get(&id)?.endpoints.iter().filter_map(|id| self.endpoints.get(id));
-        endpoints.filter(fits).min_by_key(|e| self.endpoint_rank(now, e)).map(|e| e.entry.id)
+        endpoints.filter(is_eligible).min_by_key(|e| self.endpoint_rank(now, e)).map(|e| e.entry.id)
     }
 }
--- a/src/policy_state/message.rs
+++ b/src/policy_state/message.rs
@@ -1,38 +1,39 @@
-//! Messages, and the requests in flight that carry them.
+//! Messages and the requests in flight that carry them.
 
 use super::ids::{RequestId, RouteId};
 use crate::interface::{Class, Decay, EndpointId, MessageId, RecoveredAttempts, Submission, Time, ZoneId};
 use std::time::Duration;
 
-/// The first attempt of a message that may have run: it fixes retry window and group.
+/// The first attempt of a message that may have run. Its time and zone determine the retry window and the
+/// group of retries.
 #[derive(Clone, Copy)]
 pub struct FirstSend {
     pub sent_at: Time,
-    /// Where it was sent, if that is known.
+    /// The zone it was sent to, if known.
     pub zone: Option<ZoneId>,
 }
 
-/// A message between its submission and its end (and the end of its last attempt).
+/// A message from its submission until it is completed and its last attempt has ended.
 pub struct Message {
     pub submission: Submission,
     pub submitted_at: Time,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// The request that carries it now.
+    /// The request that currently carries the message.
     pub in_flight: Option<RequestId>,
     pub first_may_have_run: Option<FirstSend>,
     /// End of the backoff after its last attempt.
     pub not_before: Time,
-    /// Its final answer was given, or nobody wants it any more.
+    /// The message has its final outcome, or was cancelled.
     pub completed: bool,
-    /// Beyond its tenant's quota.
+    /// The message exceeds its tenant's quota.
     pub over_quota: bool,
-    /// Accepted by an earlier process, which never tried it.
+    /// Accepted by an earlier process, which made no attempt.
     pub recovered_untried: bool,
 }
 
 impl Message {
-    /// A message submitted at `submitted_at` and accepted now, not tried yet.
+    /// Creates a message that was submitted at `submitted_at`, is accepted now and has no attempts yet.
     pub fn new(submission: Submission, submitted_at: Time, now: Time) -> Self {
         Message {
             submission,
@@ -47,21 +48,21 @@
         }
     }
 
-    /// Takes over what an earlier process recorded of it.
-    pub fn restore(&mut self, past: RecoveredAttempts) {
-        self.submitted_at = past.submitted_at;
-        self.attempts = past.attempts;
-        self.first_may_have_run = past.may_have_run.map(|(sent_at, zone)| FirstSend { sent_at, zone });
-        self.recovered_untried = past.attempts == 0;
+    /// Restores what an earlier process recorded of the message.
+    pub fn restore(&mut self, recovered: RecoveredAttempts) {
+        self.submitted_at = recovered.submitted_at;
+        self.attempts = recovered.attempts;
+        self.first_may_have_run = recovered.may_have_run.map(|(sent_at, zone)| FirstSend { sent_at, zone });
+        self.recovered_untried = recovered.attempts == 0;
     }
 
-    /// Whether an earlier process accepted it and never tried it, nor did this one.
+    /// Whether the message was accepted by an earlier process and no process has attempted it yet.
     pub fn is_recovered_untried(&self) -> bool {
         self.recovered_untried && self.attempts == 0
     }
 }
 
-/// Share of its full value that a message of this age (seconds) still has, by the decay of the settings.
+/// Fraction of its full value that a message of this age (in seconds) still has.
 pub fn remaining_value(class: &Class, decay: Decay, age: f64) -> f64 {
     let objective = class.latency_objective.as_secs_f64().max(0.001);
     let deadline = class.deadline.as_secs_f64();
@@ -80,27 +81,27 @@
     pub priority: f64,
 }
 
-/// A request in flight: one slot and one connection, however many messages it carries.
+/// A request in flight. It takes one slot and one connection, however many messages it carries.
 pub struct InFlightRequest {
     pub route: RouteId,
     pub endpoint: EndpointId,
     pub zone: ZoneId,
     pub sent_at: Time,
     pub messages: Vec<MessageId>,
-    /// Messages whose attempt has not completed.
+    /// Number of its messages whose attempt has not completed yet.
     pub pending_outcomes: usize,
-    /// How long the connection that it was sent on had been idle; none on a new or busy one.
+    /// How long the connection had been idle when the request was sent; `None` for a new or busy connection.
     pub connection_idle: Option<Duration>,
-    /// Silent for longer than the stall time-out.
+    /// No response for longer than the stall time-out.
     pub stalled: bool,
     /// Abandoned to free its slot; its outcome is still to come.
     pub abandoned: bool,
-    /// Sent to learn whether an outage is over.
+    /// Sent to find out whether an outage is over.
     pub is_probe: bool,
 }
 
 impl InFlightRequest {
-    /// A request sent now on a new connection, not a probe.
+    /// Creates a request that is sent now on a new connection and is not a probe.
     pub fn new(
         route: RouteId,
         endpoint: EndpointId,
--- a/src/policy_state/route.rs
+++ b/src/policy_state/route.rs
@@ -1,4 +1,4 @@
-//! Routes and endpoints: their rates, latencies, outages and requests in flight.
+//! Routes and endpoints: rates, latencies, outages and requests in flight.
 
 use super::ids::{RequestId, RouteId};
 use super::message::InFlightRequest;
@@ -7,33 +7,33 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What may be sent next.
+/// A request that may be sent next.
 pub struct Candidate {
     pub route: RouteId,
     pub endpoint: EndpointId,
     pub message: MessageId,
-    /// Value of the message for the time that a slot is taken, a second.
+    /// Value of the message per second of slot time.
     pub value_rate: f64,
 }
 
-/// An endpoint as listed, and what is known of it.
+/// An entry of the endpoint list and the state kept for it.
 pub struct EndpointRecord {
     pub entry: Endpoint,
     pub requests_in_flight: usize,
-    /// Among endpoints that are else alike the least is next. Begins at random, for this instance only.
+    /// Ties between endpoints go to the lowest position. The initial offset is random for each instance.
     pub round_robin_position: u64,
-    /// How far one request moves the position.
+    /// How far one request advances the position.
     pub round_robin_step: u64,
     pub consecutive_failures: u32,
     pub deprioritized_until: Time,
-    /// When a request last ended there with its connection left open.
+    /// When a request last ended there and left its connection open.
     pub last_used: Option<Time>,
-    /// Since when connections fail there, without a response since.
+    /// When connection attempts there began to fail; cleared by a successful response.
     pub connect_failing_since: Option<Time>,
 }
 
 impl EndpointRecord {
-    /// An endpoint just listed.
+    /// Creates the record of a newly listed endpoint.
     pub fn new(entry: Endpoint, round_robin_position: u64, round_robin_step: u64) -> Self {
         EndpointRecord {
             entry,
@@ -48,18 +48,18 @@
     }
 
     /// The position before its latest request.
-    pub fn last_round_robin_position(&self) -> u64 {
+    pub fn previous_round_robin_position(&self) -> u64 {
         self.round_robin_position.saturating_sub(self.round_robin_step)
     }
 
-    /// Moves the position on by whole steps: by one, and past `front`.
+    /// Advances the position by whole steps: by at least one, and to `front` or beyond.
     pub fn advance_round_robin(&mut self, front: u64) {
         let step = self.round_robin_step;
         let behind = front.saturating_sub(self.round_robin_position + step);
         self.round_robin_position += step * (1 + behind.div_ceil(step.max(1)));
     }
 
-    /// A request succeeded there.
+    /// Records a successful request.
     pub fn on_success(&mut self, now: Time) {
         self.connect_failing_since = None;
         self.last_used = Some(now);
@@ -67,102 +67,103 @@
     }
 }
 
-/// A time without any success on a route, from its last success on: silence alone, until a request fails.
+/// A period without success on a route, since its last success; opened by failures or by silence alone.
 #[derive(Default)]
 pub struct Outage {
     pub started_at: Time,
     pub next_probe: Time,
     pub probes_sent: u32,
-    /// Some request failed or was rejected; else it is silence alone.
+    /// A request failed or was rejected; otherwise the outage rests on silence alone.
     pub failure_seen: bool,
     /// Requests were lost or are silent, not just rejected.
     pub requests_lost: bool,
 }
 
-/// Rate and health of a route: one mechanism for limits, outages and slow start.
+/// Rate and health of a route; limits, outages and slow start share one mechanism.
 #[derive(Default)]
 pub struct RouteState {
-    /// Requests a second that it takes from all instances together, as advertised.
+    /// Advertised limit in requests per second, for all instances together.
     pub advertised_limit: f64,
     pub endpoints: Vec<EndpointId>,
     pub kind: KindId,
-    /// Messages that one request may carry.
+    /// Maximum number of messages per request.
     pub max_batch: usize,
-    /// Requests a second that this instance may send.
+    /// Requests per second that this instance may send.
     pub rate: f64,
-    /// Requests stay where a connection is open, as round robin would let connections lapse.
+    /// Prefer endpoints with an open connection to round robin, under which connections would time out.
     pub prefers_open_connection: bool,
     pub tokens: f64,
     /// When the tokens were last refilled.
     pub refilled_at: Time,
-    /// No token is there.
+    /// No token is available.
     pub rate_limited: bool,
-    /// The rate alone speaks against one more request.
+    /// Nothing but the rate limit prevents another request.
     pub only_rate_limited: bool,
-    /// Listed for one request at a time.
+    /// The endpoint list admits one request at a time.
     pub one_at_a_time: bool,
     pub last_rate_cut: Time,
-    /// Cuts since the last success.
+    /// Rate cuts since the last success.
     pub consecutive_cuts: usize,
     /// Requests sent recently.
     pub sent_recently: DecayingCounter,
-    /// Messages accepted over about the warm-up time.
+    /// Messages accepted, decaying over the warm-up time.
     pub demand: DecayingCounter,
-    /// Requests served over about the warm-up time.
+    /// Requests served, decaying over the warm-up time.
     pub served: DecayingCounter,
-    /// Requests served a second, as of the last success and without it; kept through outage and recovery.
+    /// Requests served per second, just before the last success; does not fall during an outage and recovery.
     pub served_rate: f64,
     /// End of the last `Retry-After`.
     pub retry_after_until: Time,
     pub latency: LatencyEstimate,
     pub last_success: Time,
-    /// Score of failures since the last success.
+    /// Failure score since the last success.
     pub failure_score: u32,
     pub outage: Option<Outage>,
-    /// When the slow start began, if one is on.
+    /// Start of the current slow start, if there is one.
     pub recovering_since: Option<Time>,
-    /// Requests in flight, the oldest first.
+    /// Requests in flight, oldest first.
     pub in_flight: BTreeSet<RequestId>,
 }
 
 impl RouteState {
-    /// Whether a success came so long after a request was sent that the route works and it is lost.
-    pub fn overtook(&self, request: &InFlightRequest, timeout: Duration) -> bool {
+    /// Whether the route succeeded more than `timeout` after a request was sent: the route works, so the
+    /// request is lost.
+    pub fn has_lost(&self, request: &InFlightRequest, timeout: Duration) -> bool {
         self.last_success > request.sent_at + timeout
     }
 
-    /// Messages accepted a second for each endpoint of the route, over about `span` seconds.
-    pub fn demand_per_endpoint(&mut self, now: Time, span: f64) -> f64 {
-        self.demand.rate(now, span, 0.0) / self.endpoints.len() as f64
+    /// Messages accepted per second for each endpoint of the route, averaged with this time constant.
+    pub fn demand_per_endpoint(&mut self, now: Time, time_constant_s: f64) -> f64 {
+        self.demand.rate(now, time_constant_s, 0.0) / self.endpoints.len() as f64
     }
 
-    /// Adds the tokens of the time that passed, up to `burst`.
+    /// Adds the tokens for the time since the last refill, up to `burst`.
     pub fn refill(&mut self, now: Time, rate: f64, burst: f64) {
-        let passed = (now - self.refilled_at).as_secs_f64();
-        self.tokens = (self.tokens + passed * rate).min(burst);
+        let elapsed = (now - self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * rate).min(burst);
         self.refilled_at = now;
     }
 }
 
-/// What the outcome of a request tells its route.
+/// The input for the update of a route after the outcome of one request.
 pub struct RouteFeedback<'a> {
     pub now: Time,
     pub settings: &'a Settings,
-    /// Random value, from 0 to 1, drawn for this outcome.
-    pub chance: f64,
-    /// Messages queued, in even parts of the routes of the destination.
+    /// Random number from 0 to 1, drawn for this outcome.
+    pub random: f64,
+    /// Messages queued for the destination, per route.
     pub queued: f64,
     /// The rate limit that the response advertised.
     pub rate_limit: Option<RateLimitStatus>,
 }
 
 impl RouteFeedback<'_> {
-    /// The rate limit, if there is one.
+    /// The advertised rate limit, if it is positive.
     pub fn advertised(&self) -> Option<RateLimitStatus> {
         self.rate_limit.filter(|status| status.limit > 0.0)
     }
 
-    /// Share of the limit that remains, from 0 to 1.
+    /// Remaining fraction of the limit, from 0 to 1.
     pub fn remaining(&self) -> Option<f64> {
         self.advertised().map(|status| status.remaining.clamp(0.0, 1.0))
     }
