--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -22,6 +22,7 @@
 }
 
 impl PolicyState {
+    /// Accepts a message: queues it and charges its tenant's quota.
     pub fn on_submitted(&mut self, now: Time, submission: Submission) {
         let Some(class) = self.settings.classes.get(usize::from(submission.class.0)) else { return };
         // If clients mark resubmissions, an unmarked message is new, however little time its deadline leaves.
@@ -96,6 +97,7 @@
         soonest.map_or(Duration::ZERO, |at| at - now).min(self.settings.max_retry_after.unwrap_or_default())
     }
 
+    /// Gives a message its final outcome and completes it.
     fn finish_message(&mut self, now: Time, id: MessageId) {
         self.actions.extend(self.permitted_final_outcome(now, id));
         self.complete(id);
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 impl PolicyState {
+    /// Records the end of an attempt, and completes its message or prepares its retry.
     pub fn on_attempt_completed(&mut self, now: Time, attempt: &AttemptCompleted) {
         if let AttemptOutcome::Rejected(Some(wait)) = attempt.outcome {
             self.on_retry_after(now, attempt.endpoint, wait);
@@ -36,8 +37,7 @@
         if attempt.complete {
             self.complete(attempt.message);
         } else if let Some(message) = self.messages.get(&attempt.message) {
-            // A message that can't be sent again completes now; it would only occupy the queue and block its
-            // key.
+            // What can't be sent again gets its final outcome now: it would fill the queue and block its key.
             let end = self.last_send_time(message);
             let due = if message.not_before > end { now } else { end.max(now) };
             self.schedule_expiry_check(due, attempt.message);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -8,6 +8,7 @@
 const SUBSCRIBE_BACKOFF: Backoff = Backoff { initial: 0.5, max: 1.5 };
 
 impl PolicyState {
+    /// Applies an update of the endpoint list.
     pub fn on_endpoint_list(&mut self, now: Time, update: EndpointListUpdate) {
         self.schedule_subscription(now, matches!(update, EndpointListUpdate::Unavailable));
         for entry in self.listed_entries(update) {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -101,6 +101,7 @@
         }
     }
 
+    /// Time without a response after which a request counts as stalled.
     pub fn stall_timeout(&self, route: RouteId) -> Duration {
         let scaled = self.latency(route).scaled(STALL_LATENCY_MULTIPLE);
         Duration::from_secs_f64(scaled.max(shortest_objective_s(&self.settings) * MIN_STALL_OBJECTIVES))
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -16,7 +16,7 @@
 const MIN_IDLE_OBJECTIVES: f64 = 0.1;
 /// Connections idle for less than this fraction of the shortest idle time that lost a request are trusted.
 const TRUSTED_IDLE_FRACTION: f64 = 0.7;
-/// While idle connections are closed, one is tested after this many of the shortest latency objective.
+/// While idle connections are closed, one is tested this many shortest objectives after the last loss.
 const STALE_CHECK_OBJECTIVES: f64 = 4.0;
 
 /// Weights of a failed connection attempt and of a response in the risk that a kind is at its connection
@@ -78,7 +78,7 @@
         None
     }
 
-    /// If endpoints are at their connection limit, closes connections that no request is expected to use
+    /// If endpoints are at their connection limit, closes idle connections that no request is expected to use
     /// soon: idle connections count towards the limit and keep other clients from being served.
     pub fn close_excess_idle_connections(&mut self, now: Time) {
         for id in std::mem::take(&mut self.recently_completed) {
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Whether endpoints of a kind are likely to be at their connection limit.
     pub fn has_connection_limit_pressure(&self, kind: KindId) -> bool {
         let stats = self.kind_stats.get(&kind);
         stats.is_some_and(|kind| kind.connection_limit_pressure > MAX_CONNECTION_LIMIT_PRESSURE)
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -6,8 +6,7 @@
 
 /// Backoff before a retry, in latency objectives of the class; with full jitter.
 pub(super) const RETRY_BACKOFF: Backoff = Backoff { initial: 0.05, max: 0.7 };
-/// A keyed message is not resent in this last fraction of its retry window: the request must arrive inside
-/// it.
+/// A keyed message is not resent in this last fraction of its retry window, as it must arrive inside it.
 const RETRY_WINDOW_MARGIN: f64 = 0.1;
 /// Minimum of that margin: a process may be paused for this long between reading its clock and writing.
 pub(super) const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
@@ -54,14 +53,12 @@
         if !self.is_first_of_key(key, message.submission.id) {
             return None;
         }
-        // The cooldown after an attempt that may still run applies to later messages of the key, not to a
-        // retry.
+        // A cooldown after an attempt that may still run delays later messages of the key, not its retries.
         let cooldown = if message.attempts == 0 { self.cooldown_end(key) } else { Time::ZERO };
         Some(message.not_before.max(cooldown))
     }
 
-    /// The time-out follows the latency of the route; the last possible attempt gets all the time that
-    /// remains.
+    /// Follows the latency of the route; the last possible attempt gets all the time that remains.
     pub fn attempt_timeout(&self, now: Time, route: RouteId, message: MessageId) -> Duration {
         let Some(message) = self.messages.get(&message) else { return Duration::ZERO };
         let class = self.class(message);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -88,9 +88,8 @@
     }
 
     /// Advances the round-robin position of an endpoint that is sent a request. One that was passed over
-    /// (failing, remote, without an open connection) gets one request of those it missed, not all: the
-    /// instances would all send theirs to an endpoint that recovers. Whole steps keep the random initial
-    /// offset.
+    /// (failing, remote, without an open connection) is owed one request, not all that it missed: otherwise
+    /// all instances would send those to an endpoint that recovers. Whole steps keep its random offset.
     pub fn advance_round_robin(&mut self, now: Time, id: RouteId, to: EndpointId) {
         let front = self.round_robin_front(id.destination);
         let Some(endpoint) = self.endpoints.get_mut(&to) else { return };
--- a/src/policy_state/message.rs
+++ b/src/policy_state/message.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Fraction of its full value that a message of this age (in seconds) still has.
+/// Fraction of its full value that a message of this age (in seconds) still has under this decay.
 pub fn remaining_value(class: &Class, decay: Decay, age: f64) -> f64 {
     let objective = class.latency_objective.as_secs_f64().max(0.001);
     let deadline = class.deadline.as_secs_f64();
