--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A delivery policy under test, with a clock of its own and a record of its attempts.
+//! Test harness for a delivery policy: a manual clock, a count of attempts per message, and builders of settings and
+//! events.
 #![allow(dead_code)]
 
 pub mod shared_destination;
@@ -26,10 +27,12 @@
     Class { effect: Effect::Safe, ..Class::default() }
 }
 
+/// Default settings with these classes, for a single gateway instance.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings { classes, instance_count: 1, ..Settings::default() }
 }
 
+/// A ready endpoint in zone 0, of kind 0.
 pub fn endpoint(id: u32, destination: u16) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
@@ -41,27 +44,27 @@
     }
 }
 
-/// A message of a live client, submitted now.
+/// A message submitted now for the first time, with the deadline of its class.
 pub fn submission(
     now: Time,
     id: u32,
-    (class, rules): (ClassId, &Class),
+    (class_id, class): (ClassId, &Class),
     destination: u16,
     key: Option<u64>,
 ) -> Submission {
     Submission {
         id: MessageId(id),
-        class,
+        class: class_id,
         destination: DestinationId(destination),
         key: key.map(OrderKey),
-        deadline: now + rules.deadline,
+        deadline: now + class.deadline,
         from_lost_instance: false,
         resubmitted: false,
         tenant: TenantId(0),
     }
 }
 
-/// A message that the policy sent.
+/// A send action of the policy.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub message: u32,
@@ -69,10 +72,12 @@
     pub timeout: Duration,
 }
 
+/// A policy with a clock that only the test advances.
 pub struct Harness {
     pub policy: DeliveryPolicy,
     pub now: Time,
     pub settings: Settings,
+    /// Attempts sent per message.
     attempts: std::collections::BTreeMap<u32, u16>,
 }
 
@@ -97,7 +102,7 @@
         self.on_event(Event::Submitted(submission(self.now, id, class, destination, key)));
     }
 
-    /// Number of messages that were sent so far.
+    /// Number of messages with at least one attempt.
     pub fn messages_sent(&self) -> u32 {
         self.attempts.len() as u32
     }
@@ -113,6 +118,7 @@
         actions
     }
 
+    /// Takes the next actions of the policy and returns the sends among them.
     pub fn next_sends(&mut self) -> Vec<Sent> {
         let sent = |action: &Action| match action {
             Action::Send { message, endpoint, timeout } => {
@@ -123,7 +129,8 @@
         self.next_actions().iter().filter_map(sent).collect()
     }
 
-    /// Lets time pass in small steps; stops at the first one with an action other than a timer.
+    /// Advances the clock in steps of 5 ms until the policy returns an action other than a timer. Returns the actions
+    /// of that step without timers, or none if the limit passes first.
     pub fn run_until_action(&mut self, limit: Duration) -> Vec<Action> {
         let end = self.now + limit;
         while self.now < end {
@@ -137,7 +144,7 @@
         Vec::new()
     }
 
-    /// Starts a new policy with other settings and another seed.
+    /// Replaces the policy by a new one with these settings, seed and endpoints. Does not report [`Event::Restarted`].
     pub fn replace_policy(&mut self, settings: Settings, seed: u64, endpoints: Vec<Endpoint>) {
         self.policy = DeliveryPolicy::new(settings.clone(), seed);
         self.settings = settings;
@@ -154,7 +161,7 @@
         self.complete_attempt_with_limit(message, endpoint, outcome, latency, None);
     }
 
-    /// A rejection that advertises a limit and the part of it that remains.
+    /// Completes an attempt with a rejection that advertises a rate limit and the part of it that remains.
     pub fn reject_with_limit(&mut self, message: u32, endpoint: u32, remaining: f64, limit: f64) {
         self.complete_attempt_with_limit(
             message,
--- a/tests/delivery_policy.rs
+++ b/tests/delivery_policy.rs
@@ -1,4 +1,4 @@
-//! The rules of delivery, and a regression test for each failure found.
+//! Delivery rules of the policy: retries, order keys, outages, slots, load shedding and rate limits.
 
 mod common;
 
@@ -9,18 +9,19 @@
 use common::{endpoint, keyed_class, ms, safe_class, settings, unsafe_class, Harness, Sent};
 use std::time::Duration;
 
-const MAYBE_RAN: [AttemptOutcome; 4] =
+const MAY_HAVE_RUN: [AttemptOutcome; 4] =
     [AttemptOutcome::Error, AttemptOutcome::Timeout, AttemptOutcome::Reset, AttemptOutcome::Abandoned];
-const NEVER_RAN: [AttemptOutcome; 3] =
+const NOT_RUN: [AttemptOutcome; 3] =
     [AttemptOutcome::Rejected(None), AttemptOutcome::ConnectFailed, AttemptOutcome::Unsent];
 
-fn one(class: Class) -> Harness {
+/// A harness with one class and one endpoint: endpoint 7 of destination 1.
+fn single_endpoint(class: Class) -> Harness {
     Harness::new(settings(vec![class]), vec![endpoint(7, 1)])
 }
 
-/// Message 1 was sent to endpoint 7, and its attempt had this outcome.
-fn after_one_attempt(class: Class, outcome: AttemptOutcome) -> Harness {
-    let mut harness = one(class);
+/// The harness of [`single_endpoint`] after the first attempt for message 1 ended with this outcome.
+fn with_completed_attempt(class: Class, outcome: AttemptOutcome) -> Harness {
+    let mut harness = single_endpoint(class);
     harness.submit(1, 0, 1, None);
     assert_eq!(harness.next_sends().len(), 1);
     harness.now = harness.now + ms(50);
@@ -43,8 +44,8 @@
 
 #[test]
 fn unsafe_message_that_may_have_run_fails_without_retry() {
-    for outcome in MAYBE_RAN {
-        let mut harness = after_one_attempt(unsafe_class(), outcome);
+    for outcome in MAY_HAVE_RUN {
+        let mut harness = with_completed_attempt(unsafe_class(), outcome);
         let end = harness.run_until_action(Duration::from_secs(30));
         assert_eq!(end, [Action::Fail { message: MessageId(1) }], "{outcome:?}");
     }
@@ -52,38 +53,38 @@
 
 #[test]
 fn unsafe_message_that_never_ran_is_retried() {
-    for outcome in NEVER_RAN {
-        let mut harness = after_one_attempt(unsafe_class(), outcome);
+    for outcome in NOT_RUN {
+        let mut harness = with_completed_attempt(unsafe_class(), outcome);
         let next = harness.run_until_action(Duration::from_secs(15));
         assert!(matches!(next[0], Action::Send { message: MessageId(1), .. }), "{outcome:?}");
     }
 }
 
 #[test]
-fn keyed_message_is_retried_inside_its_window_only() {
-    let mut harness = one(keyed_class());
+fn keyed_message_is_retried_only_within_its_retry_window() {
+    let mut harness = single_endpoint(keyed_class());
     harness.submit(1, 0, 1, None);
     let sent = harness.now;
     assert_eq!(harness.next_sends().len(), 1);
-    let mut repeats = 0;
+    let mut retries = 0;
     loop {
         harness.now = harness.now + ms(30);
         harness.complete_attempt(1, 7, AttemptOutcome::Error, ms(30));
         match harness.run_until_action(Duration::from_secs(30)).first() {
             Some(Action::Send { .. }) => {
                 assert!(harness.now < sent + harness.settings.classes[0].retry_window);
-                repeats += 1;
+                retries += 1;
             }
             Some(Action::Fail { .. }) => break,
             other => panic!("{other:?}"),
         }
     }
-    assert!(repeats > 0);
-    assert!(repeats < harness.settings.max_attempts);
+    assert!(retries > 0);
+    assert!(retries < harness.settings.max_attempts);
 }
 
 #[test]
-fn keyed_message_is_retried_in_the_zone_of_its_first_attempt() {
+fn keyed_message_with_zone_group_is_not_retried_in_another_zone() {
     let mut other = endpoint(8, 1);
     other.zone = ZoneId(1);
     let class = Class { group: Group::Zone, ..keyed_class() };
@@ -93,18 +94,18 @@
     harness.now = harness.now + ms(50);
     harness.complete_attempt(1, first, AttemptOutcome::Reset, ms(50));
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
-    let drained = Endpoint { state: EndpointState::Draining, zone, ..endpoint(first, 1) };
-    harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![drained])));
+    let draining = Endpoint { state: EndpointState::Draining, zone, ..endpoint(first, 1) };
+    harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![draining])));
     let end = harness.run_until_action(Duration::from_secs(30));
     assert_eq!(end, [Action::Fail { message: MessageId(1) }]);
 }
 
 #[test]
 fn retry_backoff_grows_and_is_jittered() {
-    let mean_gap = |failures: u32| {
-        let gaps: Vec<u64> = (0..40)
+    let mean_backoff = |failures: u32| {
+        let backoffs: Vec<u64> = (0..40)
             .map(|seed| {
-                let mut harness = one(safe_class());
+                let mut harness = single_endpoint(safe_class());
                 harness.policy = DeliveryPolicy::new(harness.settings.clone(), seed);
                 harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(vec![endpoint(7, 1)])));
                 harness.submit(1, 0, 1, None);
@@ -120,15 +121,15 @@
                 0
             })
             .collect();
-        assert!(gaps.iter().min() < gaps.iter().max());
-        gaps.iter().sum::<u64>() / 40
+        assert!(backoffs.iter().min() < backoffs.iter().max());
+        backoffs.iter().sum::<u64>() / 40
     };
-    assert!(mean_gap(3) > mean_gap(1));
+    assert!(mean_backoff(3) > mean_backoff(1));
 }
 
 #[test]
 fn retry_window_of_a_message_from_a_lost_instance_starts_at_submission() {
-    let mut harness = one(keyed_class());
+    let mut harness = single_endpoint(keyed_class());
     let class = harness.settings.classes[0].clone();
     harness.on_event(Event::Submitted(Submission {
         id: MessageId(1),
@@ -146,15 +147,15 @@
 
 #[test]
 fn draining_and_removed_endpoints_get_no_new_requests() {
-    for mode in [EndpointState::Draining, EndpointState::Removed] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1), endpoint(8, 1)]);
         harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![Endpoint {
-            state: mode,
+            state,
             ..endpoint(7, 1)
         }])));
         (0..4).for_each(|id| harness.submit(id, 0, 1, None));
-        let routes = harness.next_sends();
-        assert!(!routes.is_empty() && routes.iter().all(|sent| sent.endpoint == 8));
+        let sends = harness.next_sends();
+        assert!(!sends.is_empty() && sends.iter().all(|sent| sent.endpoint == 8));
     }
     let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1)]);
     harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Snapshot(vec![endpoint(8, 1)])));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn retry_after_binds_all_messages_of_the_destination() {
+fn retry_after_delays_all_messages_of_the_destination() {
     let mut harness = Harness::new(settings(vec![safe_class()]), vec![endpoint(7, 1), endpoint(8, 1)]);
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].endpoint;
@@ -175,9 +176,10 @@
     assert!(harness.now - rejected_at >= ms(800));
 }
 
-/// Incident ie8d4eb: a `Retry-After` of the first outcomes of a batched request was dropped.
+/// Each message of a batched request has its own outcome: later outcomes without a `Retry-After` must not clear the one
+/// that an earlier outcome set.
 #[test]
-fn retry_after_of_any_message_of_a_request_is_kept() {
+fn retry_after_is_kept_when_later_outcomes_of_the_batch_have_none() {
     let base = settings(vec![safe_class()]);
     let mut harness = Harness::new(
         Settings { kinds: vec![Kind { max_batch: 5, per_endpoint_limits: false }], ..base },
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn ordered_keys_are_delivered_in_order_and_cool_down_after_a_lost_attempt() {
+fn order_key_is_held_until_the_outcome_is_known_and_cools_down_after_a_lost_attempt() {
     let class = Class { ordered: true, ..unsafe_class() };
     let base = settings(vec![class]);
     let rules = Rules { key_cooldown: ms(300), ..base.rules.clone() };
@@ -204,41 +206,43 @@
     let sent = harness.next_sends();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].message, 1);
-    // The client cancels, the attempt runs on: the key stays taken until its outcome is known, and then cools down.
+    // The client cancels while the attempt is in flight: the order key stays in use until the outcome is known, then
+    // cools down.
     harness.on_event(Event::Cancelled(MessageId(1)));
     assert!(harness.run_until_action(ms(100)).is_empty());
     harness.complete_attempt(1, sent[0].endpoint, AttemptOutcome::Reset, ms(100));
-    let settled = harness.now;
+    let completed_at = harness.now;
     let next = harness.run_until_action(Duration::from_secs(10));
     assert!(matches!(next[0], Action::Send { message: MessageId(2), .. }));
-    assert!(harness.now - settled >= ms(300));
+    assert!(harness.now - completed_at >= ms(300));
 }
 
 #[test]
 fn destination_in_outage_gets_single_probes_and_a_slow_start() {
-    let mut harness = one(safe_class());
+    let mut harness = single_endpoint(safe_class());
     (0..390).for_each(|id| harness.submit(id, 0, 1, None));
     for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
         harness.complete_attempt(id, to, AttemptOutcome::ConnectFailed, ms(10));
     }
-    let began = harness.now;
+    let outage_start = harness.now;
     let mut probes = 0;
-    while harness.now - began < Duration::from_secs(6) {
-        let routed = harness.run_until_action(Duration::from_secs(6));
-        assert_eq!(routed.len(), 1, "one probe at a time");
-        let Action::Send { message, .. } = routed[0] else { panic!("{routed:?}") };
+    while harness.now - outage_start < Duration::from_secs(6) {
+        let actions = harness.run_until_action(Duration::from_secs(6));
+        assert_eq!(actions.len(), 1, "one probe at a time");
+        let Action::Send { message, .. } = actions[0] else { panic!("{actions:?}") };
         probes += 1;
         harness.complete_attempt(message.0, 7, AttemptOutcome::ConnectFailed, ms(5));
     }
     assert!((3..20).contains(&probes), "{probes}");
-    // Recovered: all that is sent in the overload window stays inside the budget of a destination that warms up.
-    let (mut sent, mut back) = (0.0, harness.now);
+    // After recovery, requests in the first overload window must stay below the number at which a destination
+    // collapses while it warms up.
+    let (mut sent, mut recovered_at) = (0.0, harness.now);
     let rules = harness.settings.rules.clone();
-    while harness.now - back < rules.overload_window {
+    while harness.now - recovered_at < rules.overload_window {
         harness.now = harness.now + ms(5);
         for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
             if sent == 0.0 {
-                back = harness.now;
+                recovered_at = harness.now;
             }
             sent += 1.0;
             harness.complete_attempt(id, to, AttemptOutcome::Ok, ms(5));
@@ -251,26 +255,26 @@
     );
 }
 
-/// A destination hangs: the silence stops further requests long before a time-out would.
+/// A destination that hangs must be detected by its missing responses, long before the first attempt times out.
 #[test]
-fn silent_destination_is_sent_only_probes() {
-    let mut harness = one(unsafe_class());
+fn hung_destination_is_sent_only_probes() {
+    let mut harness = single_endpoint(unsafe_class());
     for id in 0..20 {
         harness.submit(id, 0, 1, None);
         harness.next_sends();
         harness.now = harness.now + ms(200);
     }
     harness.now = harness.now + ms(1000);
-    let mut late = 0;
+    let mut sends_after_hang = 0;
     for id in 20..60 {
         harness.submit(id, 0, 1, None);
-        late += harness.next_sends().len();
+        sends_after_hang += harness.next_sends().len();
         harness.now = harness.now + ms(100);
     }
-    assert!(late <= 6, "{late} unsafe messages risked");
+    assert!(sends_after_hang <= 6, "{sends_after_hang} unsafe messages sent to a hung destination");
 }
 
-/// Incident id37437: hung destinations pinned all slots.
+/// Requests to destinations that hang must not hold all slots: they would block messages for healthy destinations.
 #[test]
 fn hung_destinations_leave_slots_for_healthy_ones() {
     let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
@@ -291,9 +295,9 @@
 }
 
 #[test]
-fn load_shedding_rejects_messages_of_least_priority() {
-    let rich = Class { priority_weight: 5.0, ..safe_class() };
-    let base = settings(vec![safe_class(), rich]);
+fn load_shedding_rejects_messages_of_lowest_priority_first() {
+    let high_priority = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), high_priority]);
     let mut harness = Harness::new(Settings { max_queued: 20, ..base }, vec![]);
     (0..10).for_each(|id| harness.submit(id, 0, 1, None));
     (10..20).for_each(|id| harness.submit(id, 1, 1, None));
@@ -326,10 +330,11 @@
     assert_eq!(harness.next_sends().len(), 5);
 }
 
-/// Incident i10b789: while latency was high the time-outs stayed short, and retries met first attempts still running.
+/// The attempt time-out must follow high latency: a retry after a time-out that is too short meets a first attempt that
+/// is still running.
 #[test]
-fn attempt_timeout_grows_with_timeouts() {
-    let mut harness = one(safe_class());
+fn attempt_timeout_grows_after_timeouts() {
+    let mut harness = single_endpoint(safe_class());
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].timeout;
     let mut last = first;
@@ -352,7 +357,7 @@
 
 #[test]
 fn events_for_unknown_ids_are_ignored() {
-    let mut harness = one(safe_class());
+    let mut harness = single_endpoint(safe_class());
     harness.complete_attempt(99, 7, AttemptOutcome::Ok, ms(5));
     harness.complete_attempt(99, 98, AttemptOutcome::Rejected(Some(ms(5))), ms(5));
     harness.on_event(Event::Cancelled(MessageId(99)));
@@ -362,13 +367,13 @@
 }
 
 #[test]
-fn clock_jump_completes_all_messages() {
-    let mut harness = one(keyed_class());
+fn clock_jump_past_all_deadlines_completes_all_messages() {
+    let mut harness = single_endpoint(keyed_class());
     (0..5).for_each(|id| harness.submit(id, 0, 1, None));
     harness.next_sends();
     harness.now = harness.now + Duration::from_secs(100_000);
-    let answers = harness.next_actions().iter().filter(|a| !matches!(a, Action::Wake { .. })).count();
-    assert_eq!(answers, 5);
+    let outcomes = harness.next_actions().iter().filter(|a| !matches!(a, Action::Wake { .. })).count();
+    assert_eq!(outcomes, 5);
 }
 
 #[test]
@@ -404,7 +409,7 @@
 }
 
 #[test]
-fn retry_after_binds_one_route_with_per_endpoint_limits() {
+fn retry_after_delays_one_endpoint_with_per_endpoint_limits() {
     let base = settings(vec![safe_class()]);
     let kinds = vec![Kind { max_batch: 1, per_endpoint_limits: true }];
     let mut harness = Harness::new(Settings { kinds, ..base }, vec![endpoint(7, 1), endpoint(8, 1)]);
@@ -417,7 +422,7 @@
     assert_ne!(other[0].endpoint, first);
 }
 
-/// Where each instance has few requests, a tie broken by id sends all of them to the same endpoint.
+/// Each instance sends few requests: if ties were broken by endpoint id, all of them would go to the same endpoint.
 #[test]
 fn instances_prefer_different_endpoints_of_a_destination() {
     let chosen: std::collections::BTreeSet<u32> = (0..30)
@@ -436,11 +441,11 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// A message that can never be sent again must not keep its order key from the messages behind it.
+/// A message that must not be retried has to release its order key at once for the messages queued behind it.
 #[test]
-fn message_that_cannot_be_retried_fails_at_once_and_frees_its_key() {
+fn message_that_cannot_be_retried_fails_at_once_and_releases_its_order_key() {
     let class = Class { ordered: true, ..unsafe_class() };
-    let mut harness = one(class);
+    let mut harness = single_endpoint(class);
     harness.submit(1, 0, 1, Some(5));
     harness.submit(2, 0, 1, Some(5));
     assert_eq!(harness.next_sends().len(), 1);
@@ -454,7 +459,7 @@
 
 #[test]
 fn message_without_attempts_left_is_rejected_at_once() {
-    let mut harness = one(unsafe_class());
+    let mut harness = single_endpoint(unsafe_class());
     harness.replace_policy(Settings { max_attempts: 1, ..harness.settings.clone() }, 1, vec![endpoint(7, 1)]);
     harness.submit(1, 0, 1, None);
     harness.next_sends();
@@ -464,13 +469,14 @@
         .contains(&Action::Reject { message: MessageId(1), retry_after: Duration::ZERO }));
 }
 
-/// Sends a message to each of `count` destinations, each with a connection idle for two seconds; requests on these
-/// have this outcome, those on new ones succeed. Returns how often idle connections were closed before use.
-fn closes_after(outcome: AttemptOutcome, count: u32) -> usize {
+/// Sends a message to each of `count` destinations over connections that were idle for two seconds. Requests on idle
+/// connections have this outcome, those on new connections succeed. Returns how many times idle connections were closed
+/// before use.
+fn idle_closes_with_outcome(outcome: AttemptOutcome, count: u32) -> usize {
     let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
     let mut harness = Harness::new(settings(vec![safe_class()]), all);
     let mut id = 0;
-    let mut call = |harness: &mut Harness, to: u32, outcome: AttemptOutcome| {
+    let mut send = |harness: &mut Harness, to: u32, outcome: AttemptOutcome| {
         id += 1;
         harness.submit(id, 0, to as u16, None);
         let actions = harness.next_actions();
@@ -480,23 +486,24 @@
         harness.on_event(Event::Cancelled(MessageId(id)));
         closes
     };
-    (1..=count).for_each(|to| assert_eq!(call(&mut harness, to, AttemptOutcome::Ok), 0));
+    (1..=count).for_each(|to| assert_eq!(send(&mut harness, to, AttemptOutcome::Ok), 0));
     harness.now = harness.now + Duration::from_secs(2);
-    (1..=count).map(|to| call(&mut harness, to, outcome)).sum()
+    (1..=count).map(|to| send(&mut harness, to, outcome)).sum()
 }
 
-/// Idle connections dropped unseen: the next request on one is lost.
+/// An idle connection can be dropped without notice to the gateway: the next request on it is lost.
 #[test]
 fn stale_idle_connections_are_closed_before_use() {
-    assert_eq!(closes_after(AttemptOutcome::Ok, 12), 0);
-    assert!(closes_after(AttemptOutcome::Reset, 12) >= 6);
+    assert_eq!(idle_closes_with_outcome(AttemptOutcome::Ok, 12), 0);
+    assert!(idle_closes_with_outcome(AttemptOutcome::Reset, 12) >= 6);
 }
 
-/// One lost response is not an outage: where a share of them is lost, messages must not wait for probes.
+/// A single lost response is not an outage: where a destination loses a part of its responses, messages must not
+/// wait for probes.
 #[test]
-fn single_lost_request_opens_no_outage() {
-    let next_send = |outcome: AttemptOutcome| {
-        let mut harness = one(safe_class());
+fn single_lost_request_does_not_start_an_outage() {
+    let sends_after = |outcome: AttemptOutcome| {
+        let mut harness = single_endpoint(safe_class());
         harness.replace_policy(
             Settings { instance_count: 100, ..harness.settings.clone() },
             1,
@@ -509,22 +516,23 @@
         harness.submit(2, 0, 1, None);
         !harness.next_sends().is_empty()
     };
-    assert!(next_send(AttemptOutcome::Reset));
-    assert!(next_send(AttemptOutcome::ConnectFailed));
+    assert!(sends_after(AttemptOutcome::Reset));
+    assert!(sends_after(AttemptOutcome::ConnectFailed));
 }
 
-/// Found by search (h560941): a hung partner with a full queue rejects although its limit has capacity remaining.
+/// A rejection with most of the rate limit remaining has another cause, such as a hung partner with a full queue: the
+/// destination must get fewer requests than after a rejection by its limit.
 #[test]
-fn rejections_with_capacity_remaining_count_as_an_outage() {
-    let sends_after = |left: f64| {
-        let mut harness = one(safe_class());
+fn rejections_with_remaining_limit_count_as_an_outage() {
+    let sends_after = |remaining: f64| {
+        let mut harness = single_endpoint(safe_class());
         (0..200).for_each(|id| harness.submit(id, 0, 1, None));
         let mut sends = 0;
-        let began = harness.now;
-        while harness.now - began < Duration::from_secs(4) {
+        let start = harness.now;
+        while harness.now - start < Duration::from_secs(4) {
             for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
                 sends += 1;
-                harness.reject_with_limit(id, to, left, 100.0);
+                harness.reject_with_limit(id, to, remaining, 100.0);
             }
             harness.now = harness.now + ms(50);
         }
@@ -533,7 +541,7 @@
     assert!(sends_after(0.9) < sends_after(0.0), "{} {}", sends_after(0.9), sends_after(0.0));
 }
 
-/// Requests that hang take the slots of others: with none left, the oldest one is abandoned.
+/// Stalled requests hold slots that other messages need: once no slot is free, the oldest stalled request is abandoned.
 #[test]
 fn stalled_request_is_abandoned_when_all_slots_are_taken() {
     let base = settings(vec![safe_class()]);
@@ -542,15 +550,16 @@
     (0..2).for_each(|id| harness.submit(id, 0, 1 + id as u16, None));
     assert_eq!(harness.next_sends().len(), 2);
     harness.submit(5, 0, 2, None);
-    let off = harness.run_until_action(Duration::from_secs(5));
-    assert_eq!(off, [Action::AbandonAttempt { message: MessageId(0), attempt: 0 }]);
+    let actions = harness.run_until_action(Duration::from_secs(5));
+    assert_eq!(actions, [Action::AbandonAttempt { message: MessageId(0), attempt: 0 }]);
 }
 
-/// A slot goes to the message of highest priority, not to the first destination of the list.
+/// Between destinations with equally many requests in flight, the slot goes to the message of highest priority, not to
+/// the first destination.
 #[test]
 fn ties_between_destinations_are_broken_by_priority() {
-    let rich = Class { priority_weight: 5.0, ..safe_class() };
-    let base = settings(vec![safe_class(), rich]);
+    let high_priority = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), high_priority]);
     let mut harness =
         Harness::new(Settings { concurrency_limit: 1, ..base }, vec![endpoint(1, 1), endpoint(2, 2)]);
     harness.submit(1, 0, 1, None);
@@ -558,12 +567,13 @@
     assert_eq!(harness.next_sends()[0].message, 2);
 }
 
-/// Incident i88d54c: low-traffic instances that had all failed to connect came back every few seconds together.
+/// Low-traffic instances that failed to connect at the same time must not all probe every few seconds: their probes add
+/// up at the destination.
 #[test]
-fn low_traffic_instances_probe_a_destination_in_outage_seldom() {
+fn low_traffic_instances_rarely_probe_a_destination_in_outage() {
     let mut probes = 0;
     for seed in 0..100 {
-        let mut harness = one(safe_class());
+        let mut harness = single_endpoint(safe_class());
         harness.replace_policy(
             Settings { instance_count: 400, ..harness.settings.clone() },
             seed,
@@ -572,8 +582,8 @@
         harness.submit(1, 0, 1, None);
         harness.next_sends();
         harness.complete_attempt(1, 7, AttemptOutcome::ConnectFailed, ms(20));
-        let began = harness.now;
-        while harness.now - began < Duration::from_secs(12) {
+        let start = harness.now;
+        while harness.now - start < Duration::from_secs(12) {
             for action in harness.run_until_action(Duration::from_secs(1)) {
                 if let Action::Send { message, .. } = action {
                     probes += 1;
@@ -582,14 +592,15 @@
             }
         }
     }
-    // The first retry decides whether connections were limited or it is an outage.
+    // One first retry of each instance, which tells an outage from a connection limit, and the probes after it.
     assert!((101..=250).contains(&probes), "{probes} probes of 100 instances in 12 s");
 }
 
-/// With hundreds of instances, a fair share of a limit is a request in minutes: it must not hold back messages.
+/// With hundreds of instances the fair share of a rate limit is one request in minutes: it must not delay messages
+/// before any rejection.
 #[test]
-fn low_traffic_instance_sends_at_once_before_any_rejection() {
-    let mut harness = one(safe_class());
+fn low_traffic_instance_sends_without_delay_before_any_rejection() {
+    let mut harness = single_endpoint(safe_class());
     harness.replace_policy(
         Settings { instance_count: 400, ..harness.settings.clone() },
         1,
@@ -603,36 +614,37 @@
     }
 }
 
-/// Incident i4182c2: rejected requests use up the limit, and first and second attempts alone kept it exhausted.
+/// Rejected requests use up the limit too: the first attempts and first retries of many instances are enough to keep it
+/// exhausted. After a rejection, an instance that batches messages needs only one request per latency objective.
 #[test]
-fn one_rejection_slows_batched_requests_to_one_an_objective() {
-    let sends_after_a_refusal = |batch: usize, seconds: u64| {
+fn rejection_slows_batched_requests_to_one_per_latency_objective() {
+    let sends_after_rejection = |batch: usize, seconds: u64| {
         let base = settings(vec![safe_class()]);
         let kinds = vec![Kind { max_batch: batch, per_endpoint_limits: false }];
         let mut harness = Harness::new(Settings { instance_count: 400, kinds, ..base }, vec![endpoint(7, 1)]);
         harness.submit(1, 0, 1, None);
-        let mut calls = 0;
-        let began = harness.now;
-        while harness.now - began < Duration::from_secs(seconds) {
+        let mut sends = 0;
+        let start = harness.now;
+        while harness.now - start < Duration::from_secs(seconds) {
             let sent = harness.next_sends();
-            calls += sent.len();
+            sends += sent.len();
             for Sent { message: id, endpoint: to, .. } in sent {
                 harness.complete_attempt(id, to, AttemptOutcome::Rejected(None), ms(20));
             }
             harness.now = harness.now + ms(20);
         }
-        calls
+        sends
     };
-    assert!(sends_after_a_refusal(20, 12) < sends_after_a_refusal(1, 12));
-    assert_eq!(sends_after_a_refusal(20, 3), 1);
+    assert!(sends_after_rejection(20, 12) < sends_after_rejection(1, 12));
+    assert_eq!(sends_after_rejection(20, 3), 1);
 }
 
-/// Later kingston, fresh-big: a burst met a hung partner's rejections at many low-traffic instances at once, and
-/// their first retries met its recovery at once.
+/// When a hung partner rejects a burst from many low-traffic instances at the same time, their first retries must not
+/// reach it together during its recovery.
 #[test]
 fn low_traffic_instances_rejected_together_retry_at_different_times() {
-    let back_after = |seed: u64| {
-        let mut harness = one(safe_class());
+    let retry_delay = |seed: u64| {
+        let mut harness = single_endpoint(safe_class());
         harness.replace_policy(
             Settings { instance_count: 200, ..harness.settings.clone() },
             seed,
@@ -645,39 +657,45 @@
         assert!(matches!(harness.run_until_action(Duration::from_secs(30))[..], [Action::Send { .. }]));
         harness.now - rejected_at
     };
-    let mut gaps: Vec<Duration> = (0..40).map(back_after).collect();
-    gaps.sort_unstable();
+    let mut delays: Vec<Duration> = (0..40).map(retry_delay).collect();
+    delays.sort_unstable();
     let objective = safe_class().latency_objective;
-    assert!(gaps[39] - gaps[0] > objective, "from {:?} to {:?}, objective {objective:?}", gaps[0], gaps[39]);
+    assert!(
+        delays[39] - delays[0] > objective,
+        "from {:?} to {:?}, objective {objective:?}",
+        delays[0],
+        delays[39]
+    );
 }
 
-/// What can no longer be retried completes in the same turn: a backoff that ends after the retry window is in vain.
+/// If the backoff would end after the retry window, no retry is possible and the message completes in the same turn.
 #[test]
 fn message_without_time_for_a_retry_is_completed_at_once() {
     let class = Class { retry_window: ms(1000), ..keyed_class() };
-    let mut given_up = 0;
+    let mut completed_at_once = 0;
     for seed in 0..40 {
-        let mut harness = one(class.clone());
+        let mut harness = single_endpoint(class.clone());
         harness.replace_policy(harness.settings.clone(), seed, vec![endpoint(7, 1)]);
         harness.submit(1, 0, 1, None);
         harness.next_sends();
-        // The window ends, less its margin, 40 ms later.
+        // 40 ms remain of the retry window, less its margin.
         harness.now = harness.now + ms(810);
         harness.complete_attempt(1, 7, AttemptOutcome::Reset, ms(810));
-        let ended = |a: &Action| matches!(a, Action::Fail { .. } | Action::Reject { .. });
-        if harness.next_actions().iter().any(ended) {
-            given_up += 1;
+        let is_final = |a: &Action| matches!(a, Action::Fail { .. } | Action::Reject { .. });
+        if harness.next_actions().iter().any(is_final) {
+            completed_at_once += 1;
         } else {
             assert!(
                 matches!(harness.run_until_action(ms(45))[..], [Action::Send { .. }]),
-                "seed {seed} held back"
+                "seed {seed}: not retried"
             );
         }
     }
-    assert!((20..40).contains(&given_up), "{given_up}");
+    assert!((20..40).contains(&completed_at_once), "{completed_at_once}");
 }
 
-/// Where clients can be told when to retry, it is when this instance may next send to the destination.
+/// If clients support it, a rejection tells them when this instance may next send to the destination, at most
+/// `max_retry_after`.
 #[test]
 fn rejected_client_is_told_when_to_retry() {
     let retry_after = |max_retry_after: Option<Duration>| {
@@ -688,22 +706,23 @@
         harness.next_sends();
         harness.complete_attempt(100, 7, AttemptOutcome::Rejected(Some(ms(900))), ms(20));
         (0..20).for_each(|id| harness.submit(id, 0, 1, None));
-        let stays = |a: &Action| match a {
+        let advised_wait = |a: &Action| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
-        harness.next_actions().iter().find_map(stays).expect("nothing was shed")
+        harness.next_actions().iter().find_map(advised_wait).expect("nothing was shed")
     };
     assert_eq!(retry_after(None), Duration::ZERO);
     assert_eq!(retry_after(Some(ms(2000))), ms(900));
     assert_eq!(retry_after(Some(ms(500))), ms(500));
 }
 
-/// sede: messages for partners in an outage filled the queue, and messages for healthy ones were rejected.
+/// When messages for partners in an outage fill the queue, they are shed before messages for healthy partners, even if
+/// their priority is higher.
 #[test]
 fn load_shedding_rejects_messages_for_unhealthy_destinations_first() {
-    let rich = Class { priority_weight: 5.0, ..safe_class() };
-    let base = settings(vec![safe_class(), rich]);
+    let high_priority = Class { priority_weight: 5.0, ..safe_class() };
+    let base = settings(vec![safe_class(), high_priority]);
     let settings = Settings { max_queued: 20, concurrency_limit: 1, ..base };
     let mut harness = Harness::new(settings, vec![endpoint(1, 1), endpoint(2, 2)]);
     for id in 100..102 {
@@ -715,11 +734,11 @@
     }
     (0..10).for_each(|id| harness.submit(id, 1, 1, None));
     (10..20).for_each(|id| harness.submit(id, 0, 2, None));
-    let shed: Vec<u32> = harness.next_actions().iter().filter_map(busy).collect();
+    let shed: Vec<u32> = harness.next_actions().iter().filter_map(rejected_message).collect();
     assert!(!shed.is_empty() && shed.iter().all(|id| *id < 10), "{shed:?}");
 }
 
-fn busy(action: &Action) -> Option<u32> {
+fn rejected_message(action: &Action) -> Option<u32> {
     match action {
         Action::Reject { message, .. } => Some(message.0),
         _ => None,
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Subscription to the endpoint list: when an instance subscribes, and what it does after a failure.
+//! Subscription to the endpoint list: when an instance subscribes, and how it recovers from a failed subscription.
 
 mod common;
 
@@ -13,46 +13,50 @@
     harness
 }
 
-/// When the instance next subscribes, if it does within `limit`.
-fn asks_after(harness: &mut Harness, limit: Duration) -> Option<Duration> {
-    let began = harness.now;
-    while harness.now - began < limit {
+/// Time until the instance next subscribes, or none if it does not within `limit`.
+fn time_to_subscription(harness: &mut Harness, limit: Duration) -> Option<Duration> {
+    let start = harness.now;
+    while harness.now - start < limit {
         if harness.next_actions().contains(&Action::SubscribeEndpoints { active: true }) {
-            return Some(harness.now - began);
+            return Some(harness.now - start);
         }
         harness.now = harness.now + ms(5);
     }
     None
 }
 
-/// Without a subscription no drain is announced. All instances start at once, and the list serves only some.
+/// Instances that start together must not subscribe together: the endpoint list serves only some subscribers at a time,
+/// and an instance without a subscription is not told of draining endpoints.
 #[test]
 fn instances_subscribe_to_the_endpoint_list_at_different_times() {
-    let every = Settings::default().rules.discovery_interval;
-    let mut gaps: Vec<Duration> = (0..40)
-        .map(|seed| asks_after(&mut harness(Discovery::Ask, seed), every).expect("no subscription"))
+    let interval = Settings::default().rules.discovery_interval;
+    let mut delays: Vec<Duration> = (0..40)
+        .map(|seed| {
+            time_to_subscription(&mut harness(Discovery::Ask, seed), interval).expect("no subscription")
+        })
         .collect();
-    gaps.sort_unstable();
-    assert!(gaps[39] - gaps[0] > every / 4, "from {:?} to {:?}", gaps[0], gaps[39]);
+    delays.sort_unstable();
+    assert!(delays[39] - delays[0] > interval / 4, "from {:?} to {:?}", delays[0], delays[39]);
 }
 
 #[test]
 fn pushed_endpoint_list_needs_no_subscription() {
-    assert_eq!(asks_after(&mut harness(Discovery::Push, 1), Duration::from_secs(60)), None);
+    assert_eq!(time_to_subscription(&mut harness(Discovery::Push, 1), Duration::from_secs(60)), None);
 }
 
-/// A failed or broken subscription is retried, later from failure to failure.
+/// A subscription that fails or breaks off is retried, with a longer delay after each further failure; a successful one
+/// is kept.
 #[test]
 fn failed_subscription_is_retried_and_a_successful_one_is_not() {
-    let every = Settings::default().rules.discovery_interval;
+    let interval = Settings::default().rules.discovery_interval;
     let mut harness = harness(Discovery::Ask, 1);
     for _ in 0..5 {
-        assert!(asks_after(&mut harness, every * 2).is_some());
+        assert!(time_to_subscription(&mut harness, interval * 2).is_some());
         harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Unavailable));
     }
-    assert!(asks_after(&mut harness, every * 2).is_some());
+    assert!(time_to_subscription(&mut harness, interval * 2).is_some());
     harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![])));
-    assert_eq!(asks_after(&mut harness, every * 6), None);
+    assert_eq!(time_to_subscription(&mut harness, interval * 6), None);
     harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Unavailable));
-    assert!(asks_after(&mut harness, every * 2).is_some());
+    assert!(time_to_subscription(&mut harness, interval * 2).is_some());
 }
--- a/tests/policy_limits.rs
+++ b/tests/policy_limits.rs
@@ -1,10 +1,10 @@
-//! Size limit of the files that hold decisions: those that `policy` in the deploy file names.
+//! Size limits of the files with the decision logic: those listed under `policy` in deploy/balancer.toml.
 
 use std::path::Path;
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
-/// The files named by `policy` in deploy/balancer.toml.
+/// Paths listed under `policy` in deploy/balancer.toml.
 fn policy_files() -> Vec<String> {
     let deploy = std::fs::read_to_string(Path::new(ROOT).join("deploy/balancer.toml")).unwrap();
     let line = deploy.lines().find(|line| line.starts_with("policy = [")).unwrap();
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn policy_files_keep_their_limits_of_lines_and_columns() {
+fn policy_files_stay_within_line_and_column_limits() {
     let files = policy_files();
     for file in &files {
         let text = std::fs::read_to_string(Path::new(ROOT).join(file)).unwrap();
@@ -21,9 +21,9 @@
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
         assert!(widest <= 110, "{file}: {widest} columns");
     }
-    // Every file of the policy is counted.
+    // A file missing from the list would escape the limits.
     for entry in std::fs::read_dir(Path::new(ROOT).join("src/policy")).unwrap() {
         let name = format!("src/policy/{}", entry.unwrap().file_name().to_string_lossy());
-        assert!(files.contains(&name), "{name} is not named by `policy` in deploy/balancer.toml");
+        assert!(files.contains(&name), "{name} is not listed under `policy` in deploy/balancer.toml");
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire page's byte examples, a round trip for every record, and bad input.
+//! The adapter's wire format: the documented byte examples, decoding of every other event, encoding of every other
+//! action, and invalid input.
 
 #[path = "../src/bin/cloverstile-sim-adapter/host.rs"]
 #[allow(dead_code, reason = "the tests use only a part of the adapter")]
@@ -11,11 +12,13 @@
 use std::process::{Command, Output, Stdio};
 use wire::{read_batch, write_frame, write_reply, Entry, Record, Reply, WireError};
 
+/// Decodes hexadecimal digits; other characters are skipped.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits.chunks(2).map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
 }
 
+/// Encodes a frame with this clock and these encoded records.
 fn frame(clock: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let mut body = clock.to_be_bytes().to_vec();
     body.extend((records.len() as u32).to_be_bytes());
@@ -25,21 +28,22 @@
     out
 }
 
-fn host_with(input: &[u8]) -> Output {
+/// Runs the adapter program with this standard input until it exits.
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cloverstile-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The host may end before it has read all of a bad input.
+    // The adapter may exit before it has read all of an invalid input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
 fn empty_batch_has_an_empty_reply() {
-    let out = host_with(&hex("0000000c 00000001f568bf90 00000000"));
+    let out = run_adapter(&hex("0000000c 00000001f568bf90 00000000"));
     assert!(out.status.success());
     assert_eq!(out.stdout, hex("00000000"));
 }
@@ -63,8 +67,8 @@
         opts: 1,
         owner: 0,
     };
-    let tick = Record::TickDue { who: 3, cookie: 77 };
-    assert_eq!(records, [accept, tick, Record::ClientGone { who: 5, call: 0x0e6f_2b19 }]);
+    let timer = Record::TickDue { who: 3, cookie: 77 };
+    assert_eq!(records, [accept, timer, Record::ClientGone { who: 5, call: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -149,9 +153,9 @@
     ];
     for (bytes, record) in cases {
         let bytes = hex(bytes);
-        let whole = &frame(9, std::slice::from_ref(&bytes))[4..];
-        assert_eq!(read_batch(whole), Ok((9, vec![record])));
-        // Every truncation is an error, never a panic.
+        let body = &frame(9, std::slice::from_ref(&bytes))[4..];
+        assert_eq!(read_batch(body), Ok((9, vec![record])));
+        // Every truncation is reported as an error, without a panic.
         for cut in 1..bytes.len() {
             let body = &frame(9, &[bytes[..cut].to_vec()])[4..];
             assert!(matches!(read_batch(body), Err(WireError::Short { .. })), "{cut}");
@@ -161,7 +165,7 @@
 
 #[test]
 fn invalid_input_is_reported_in_one_line() {
-    let bad_setting = {
+    let invalid_setting = {
         let config = b"Balancers=two";
         let mut record = hex("0a 0001 0000000000000002");
         record.extend((config.len() as u32).to_be_bytes());
@@ -175,26 +179,27 @@
         (frame(9, &[hex("ff 0001")]), "unknown code 255"),
         (frame(9, &[hex("6e 0000 ffffffff")]), "entry Endpoint is cut short"),
         (frame(9, &[hex("64 0001"), hex("64 0001 00")]), "left over"),
-        (bad_setting, "Balancers: 'two'"),
+        (invalid_setting, "Balancers: 'two'"),
     ];
-    for (input, says) in cases {
-        let out = host_with(&input);
+    for (input, expected) in cases {
+        let out = run_adapter(&input);
         let error = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{says}");
-        assert!(error.contains(says), "{error}");
+        assert!(!out.status.success(), "{expected}");
+        assert!(error.contains(expected), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
     }
 }
 
 #[test]
-fn unknown_settings_are_skipped_and_endpoint_lists_are_copied() {
+fn unknown_settings_are_skipped_and_reused_list_numbers_keep_earlier_lists() {
     let config =
         "Balancers=3\nLanes.count=1\nLanes.0.Effect=read_like\nNew.Thing=1,2\nFamilyInfo.KindBatch=1,4\n";
     let parsed = cloverstile::parse_settings(config).unwrap();
     assert_eq!(parsed.settings.instance_count, 3);
     assert_eq!(parsed.settings.kinds[1].max_batch, 4);
-    // A sheet's number taken over later in a batch does not touch what referred to it before.
-    let sheet = |endpoint| {
+    // When a later record of a batch reuses the number of an endpoint list, instances that referred to that number
+    // before keep the earlier list.
+    let endpoint_list = |endpoint| {
         let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
         Record::Sheet { slot: 0, entries: vec![entry] }
     };
@@ -204,12 +209,21 @@
     let accept =
         |who| Record::Accept { who, call: 5, profile: 0, dest: 1.0, key, deadline, hint, opts, owner };
     let mut host = host::Host::default();
-    let batch = vec![start(1), start(2), sheet(10), members(1), sheet(20), members(2), accept(1), accept(2)];
+    let batch = vec![
+        start(1),
+        start(2),
+        endpoint_list(10),
+        members(1),
+        endpoint_list(20),
+        members(2),
+        accept(1),
+        accept(2),
+    ];
     let replies = host.run(50_000_000_000, batch).unwrap();
     let routed = |who, to| {
-        let is =
+        let matches_route =
             |r: &&Reply| matches!(r, Reply::Route { who: w, endpoint, .. } if (*w, *endpoint) == (who, to));
-        replies.iter().filter(is).count()
+        replies.iter().filter(matches_route).count()
     };
     assert_eq!((routed(1, 10), routed(2, 20)), (1, 1));
 }
