--- a/tests/overload_collapse.rs
+++ b/tests/overload_collapse.rs
@@ -1,5 +1,6 @@
-//! The requests that all instances which saw an outage send together must not overload the partner when it recovers:
-//! the most in an overload window, over what the partner survives, for several numbers of instances.
+//! Recovery after an outage: the requests of all instances that saw the outage, taken together, must not overload
+//! the partner again. Measured is the peak within an overload window, relative to what the partner survives, for
+//! several numbers of instances.
 
 mod common;
 
@@ -18,11 +19,11 @@
     seed: 1,
 };
 
-/// Every scenario with a few seeds stays inside the budget, and messages are delivered all the same.
+/// Asserts for several seeds that every scenario stays within the overload budget and still delivers messages.
 fn assert_within_budget(scenarios: &[Scenario]) {
     for scenario in scenarios {
         for seed in 1..=3 {
-            let seen = simulate(Scenario { seed, ..*scenario });
+            let measurement = simulate(Scenario { seed, ..*scenario });
             let case = format!(
                 "{:?}, {} instances, {} requests a second, advertised {}, batches of {}, load {}, seed {seed}",
                 scenario.outage,
@@ -33,22 +34,23 @@
                 scenario.load_ratio
             );
             assert!(
-                seen.peak_overload_ratio <= 1.0,
-                "{case}: {:.2} of what it survives",
-                seen.peak_overload_ratio
+                measurement.peak_overload_ratio <= 1.0,
+                "{case}: peak at {:.2} of the overload threshold",
+                measurement.peak_overload_ratio
             );
             assert!(
-                seen.delivered_ratio * scenario.load_ratio > 0.05,
+                measurement.delivered_ratio * scenario.load_ratio > 0.05,
                 "{case}: only {:.2} delivered",
-                seen.delivered_ratio
+                measurement.delivered_ratio
             );
         }
     }
 }
 
-/// Later mandeville (Ld0af66): all instances that a `Retry-After` told the reopening came back at that moment.
+/// Found in a later run of the `mandeville` scenario (Ld0af66): all instances that learned from a `Retry-After`
+/// when the partner would reopen sent requests at that moment.
 #[test]
-fn advertised_reopening_does_not_synchronize_instances() {
+fn retry_after_does_not_synchronize_instances() {
     let closed = Scenario { outage: Outage::ClosedWithRetryAfter, ..BASE };
     let small = Scenario { capacity: 20.0, ..closed };
     let tiny = Scenario { capacity: 6.0, ..closed };
@@ -56,38 +58,40 @@
     assert_within_budget(&[closed, small, tiny, few, Scenario { load_ratio: 1.5, ..closed }]);
 }
 
-/// Found by search (h562547): queued messages of each instance set the lowest rate after rejections, and added up.
+/// Found by search (h562547): the queued messages of each instance set the minimum of its rate after rejections,
+/// and the minimums of all instances added up to an overload.
 #[test]
 fn rejections_without_retry_after_slow_all_instances_down() {
-    let shut = Scenario { outage: Outage::Closed, ..BASE };
-    let small = Scenario { capacity: 20.0, ..shut };
-    let tiny = Scenario { capacity: 12.0, ..shut };
-    let hot = Scenario { load_ratio: 4.0, ..small };
+    let closed = Scenario { outage: Outage::Closed, ..BASE };
+    let small = Scenario { capacity: 20.0, ..closed };
+    let tiny = Scenario { capacity: 12.0, ..closed };
+    let overloaded = Scenario { load_ratio: 4.0, ..small };
     assert_within_budget(&[
-        shut,
+        closed,
         small,
         tiny,
-        hot,
-        Scenario { load_ratio: 1.5, ..shut },
-        Scenario { max_batch: 20, ..shut },
+        overloaded,
+        Scenario { load_ratio: 1.5, ..closed },
+        Scenario { max_batch: 20, ..closed },
     ]);
 }
 
-/// Found by search (h1c8921): probes by own demand add up to the demand, many times the limit of a busy partner.
+/// Found by search (h1c8921): when each instance probes in proportion to its own demand, the probes of all
+/// instances add up to the total demand, which is many times the limit of a busy partner.
 #[test]
 fn probes_and_slow_starts_share_one_recovery_budget() {
     for outage in [Outage::Down, Outage::Hangs] {
         let base = Scenario { outage, ..BASE };
-        let hot = Scenario { load_ratio: 1.5, ..base };
-        let hotter = Scenario { load_ratio: 4.0, capacity: 20.0, ..base };
-        let listed_too_high = Scenario { advertised_capacity_ratio: 1.5, ..base };
+        let overloaded = Scenario { load_ratio: 1.5, ..base };
+        let heavily_overloaded = Scenario { load_ratio: 4.0, capacity: 20.0, ..base };
+        let advertised_too_high = Scenario { advertised_capacity_ratio: 1.5, ..base };
         let tiny = Scenario { capacity: 6.0, ..base };
         let few = Scenario { instances: 20, capacity: 20.0, ..base };
         assert_within_budget(&[
             base,
-            hot,
-            hotter,
-            listed_too_high,
+            overloaded,
+            heavily_overloaded,
+            advertised_too_high,
             tiny,
             few,
             Scenario { max_batch: 20, ..base },
@@ -95,28 +99,28 @@
     }
 }
 
-/// Fleet day calm (seeds 3 and 11): a hundred instances with messages for the same partner doubled their rate with
-/// each response and took the queue for their share of its limit. Together they were above it all day, rejected
-/// requests used it up, and more requests made fewer deliveries.
+/// Found in a fleet test (day `calm`, seeds 3 and 11): a hundred instances with messages for the same partner
+/// doubled their rate with each response and took their queue for their share of its limit. Together they exceeded
+/// the limit all day, rejected requests used it up, and more requests led to fewer deliveries.
 #[test]
-fn limit_shared_by_hundreds_is_used_while_messages_wait() {
+fn limit_shared_by_hundreds_of_instances_is_used_while_messages_wait() {
     for instances in [100, 300] {
         for seed in 1..=3 {
             let scenario =
                 Scenario { outage: Outage::None, instances, capacity: 100.0, load_ratio: 1.3, seed, ..BASE };
             let used = simulate(scenario).limit_utilization;
-            // 0.73 to 0.80 before, 0.85 to 0.95 since.
+            // 0.73 to 0.80 before the fix, 0.85 to 0.95 since.
             assert!(used > 0.82, "{instances} instances, seed {seed}: {used:.2} of the limit used");
         }
     }
 }
 
-/// nairobi big-1: a class with a short deadline made every low-traffic instance try a partner in an outage once each
-/// of these, many times what the partner survives while it warms up.
+/// Found in the `nairobi` scenario (big-1): a class with a short deadline made every low-traffic instance probe a
+/// partner in an outage once per such deadline, together many times what the partner survives while it warms up.
 #[test]
-fn short_deadline_of_one_class_does_not_hasten_probes() {
-    let hurried = Class { deadline: Duration::from_secs(6), ..safe_class() };
-    let base = settings(vec![hurried, safe_class()]);
+fn short_deadline_of_one_class_does_not_increase_probe_rate() {
+    let short_deadline = Class { deadline: Duration::from_secs(6), ..safe_class() };
+    let base = settings(vec![short_deadline, safe_class()]);
     let rules = Rules { overload_multiple: 1.5, warm_up_capacity: 0.26, ..base.rules.clone() };
     let base = Settings { instance_count: 300, rules, ..base };
     let mut sends = 0;
@@ -124,15 +128,16 @@
         let mut harness = Harness::new(base.clone(), vec![]);
         harness.replace_policy(base.clone(), seed, vec![Endpoint { weight: 5.0, ..endpoint(7, 1) }]);
         harness.submit(1, 1, 1, None);
-        let began = harness.now;
-        while harness.now - began < Duration::from_secs(14) {
-            for Sent { message: id, endpoint: to, .. } in harness.next_sends() {
+        let start = harness.now;
+        while harness.now - start < Duration::from_secs(14) {
+            for Sent { message: id, endpoint, .. } in harness.next_sends() {
                 sends += 1;
-                harness.complete_attempt(id, to, AttemptOutcome::ConnectFailed, ms(20));
+                harness.complete_attempt(id, endpoint, AttemptOutcome::ConnectFailed, ms(20));
             }
             harness.now = harness.now + ms(50);
         }
     }
-    // A first attempt, a retry that tells an outage from a connection limit, and less than one probe each.
-    assert!((201..300).contains(&sends), "{sends} calls of 100 instances in 14 s");
+    // For each instance a first attempt, a retry that tells an outage from a connection limit, and less than one
+    // probe.
+    assert!((201..300).contains(&sends), "{sends} requests of 100 instances in 14 s");
 }
