--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -11,10 +11,10 @@
 //! | `Action::Reject` | [`Command::Complete`] with [`FinalOutcome::Rejected`] |
 //! | `Action::Fail` | [`Command::Complete`] with [`FinalOutcome::Failed`] |
 //! | `Action::AbandonAttempt` | [`Command::Abandon`], and `Event::AttemptCompleted` with `AttemptOutcome::Abandoned` at once |
-//! | `Action::Wake` | part of [`Engine::next_timeout`], then `Event::TimerFired` |
+//! | `Action::SetTimer` | part of [`Engine::next_timeout`], then `Event::TimerFired` |
 //! | `Action::CloseIdle` | [`Command::CloseIdle`] |
 //! | `Action::Probe` | [`Command::Probe`]: a connection opened and closed; `Event::ProbeCompleted` says whether it opened |
-//! | `Action::SendNote` | nothing: instances share nothing |
+//! | `Action::SendPeerMessage` | nothing: instances share nothing |
 //! | `Action::Log` | [`Command::Log`] |
 //! | `Action::SubscribeEndpoints`, `Action::RefreshEndpoints` | `Event::EndpointsUpdated` with a snapshot of the list held; changes come without a subscription |
 //!
@@ -29,7 +29,7 @@
 //! | `Event::Cancelled` | a message completed by the engine itself: cancelled or rejected by the gateway, proved delivered by a late receipt, or pending at the end of a shutdown; a message that changes its tier. A client's lost connection is none: the client resubmits to get its outcome |
 //! | `Event::TimerFired` | [`Engine::advance`] |
 //! | `Event::ProbeCompleted` | [`Engine::on_probe_completed`] |
-//! | `Event::FirstByte`, `Event::NoteReceived` | never: responses are not streamed, instances send no notes |
+//! | `Event::FirstByte`, `Event::PeerMessageReceived` | never: responses are not streamed, instances send no notes |
 //!
 //! Modules, each of which uses only those above it:
 //!
--- a/crates/engine/src/policy_turn.rs
+++ b/crates/engine/src/policy_turn.rs
@@ -45,7 +45,7 @@
             }
             Action::Fail { message } => self.complete(message, FinalOutcome::Failed),
             Action::AbandonAttempt { message, attempt } => self.abandon(message, attempt),
-            Action::Wake { after, token } => self.state.policy_timers.insert(self.now + after, token),
+            Action::SetTimer { after, token } => self.state.policy_timers.insert(self.now + after, token),
             Action::CloseIdle { endpoint } => {
                 self.flush();
                 self.state.commands.push(Command::CloseIdle { endpoint });
@@ -56,7 +56,7 @@
                 self.state.notify_endpoint_snapshot(self.now);
             }
             // Instances exchange nothing.
-            Action::SendNote { .. } => {}
+            Action::SendPeerMessage { .. } => {}
         }
     }
 
--- a/crates/engine/src/state.rs
+++ b/crates/engine/src/state.rs
@@ -16,7 +16,7 @@
 use cloverstile_failover::{FailoverPlanner, FailoverPolicy, RequestResult};
 use std::time::Duration;
 
-/// Part of [`cloverstile::Rules::answer_grace`] after a message's deadline at which the engine completes it itself; the
+/// Part of [`cloverstile::Rules::outcome_grace`] after a message's deadline at which the engine completes it itself; the
 /// policy has done so by half of it.
 const FALLBACK_GRACE_RATIO: f64 = 0.75;
 
@@ -209,7 +209,7 @@
             attempt: number.saturating_sub(offset),
             outcome,
             latency,
-            complete: outcome == AttemptOutcome::Ok || !self.messages.is_pending(message),
+            message_completed: outcome == AttemptOutcome::Ok || !self.messages.is_pending(message),
             rate_limit: end.rate_limit,
         };
         self.notify_policy(now, Event::AttemptCompleted(completed));
@@ -259,7 +259,7 @@
     }
 
     fn fallback_at(&self, deadline: Time) -> Time {
-        deadline + self.settings.rules.answer_grace.mul_f64(FALLBACK_GRACE_RATIO)
+        deadline + self.settings.rules.outcome_grace.mul_f64(FALLBACK_GRACE_RATIO)
     }
 
     /// Drops the oldest outcomes, by age and by number; one whose attempt is in flight when that has ended.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -315,7 +315,7 @@
         let now = self.harness.now;
         let s = self.seen.get_mut(&message).unwrap();
         assert!(!std::mem::replace(&mut s.completed, true), "two outcomes");
-        assert!(now <= s.deadline + settings().rules.answer_grace, "late");
+        assert!(now <= s.deadline + settings().rules.outcome_grace, "late");
         if let FinalOutcome::Rejected(_) = outcome {
             let cannot_have_run = s.may_have_run_at.is_none() && s.in_flight.is_none();
             assert!(s.class == SAFE || cannot_have_run, "rejected though it may run");
--- a/crates/engine/tests/tier_migration.rs
+++ b/crates/engine/tests/tier_migration.rs
@@ -64,7 +64,7 @@
                 class(Effect::Keyed, Group::Zone, false, 1.0),
             ],
             instance_count: 1,
-            clients_mark_retries: true,
+            clients_mark_resubmissions: true,
             ..Settings::default()
         };
         let now = Time(1_000_000_000);
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -60,7 +60,11 @@
 pub(crate) fn read_weight_source(gateway_block: &Block) -> WeightSource {
     gateway_block.choice(
         "rates",
-        &[("nominal", WeightSource::Nominal), ("rough", WeightSource::Rough), ("none", WeightSource::Silent)],
+        &[
+            ("nominal", WeightSource::Nominal),
+            ("rough", WeightSource::Approximate),
+            ("none", WeightSource::Ignored),
+        ],
         WeightSource::Nominal,
     )
 }
--- a/crates/settings/src/partner.rs
+++ b/crates/settings/src/partner.rs
@@ -34,7 +34,7 @@
         None => Some(0),
     };
     let rate = block.number("rate", 0.001, 1e9, 0.0);
-    if rates != WeightSource::Silent && rate == 0.0 {
+    if rates != WeightSource::Ignored && rate == 0.0 {
         let advice =
             "set the calls a second that it takes from all couriers, or rates = \"none\" for the courier";
         block.problem_at("rate", "is missing", advice);
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -97,7 +97,7 @@
             &[("line", Decay::Linear), ("halves", Decay::Halving)],
             Decay::Linear,
         ),
-        clients_mark_retries: true,
+        clients_mark_resubmissions: true,
         max_retry_after: (!stay_away.is_zero()).then_some(stay_away),
         concurrency_limit: gateway_block.number("call_slots", 1, 100_000, 64),
         max_queued: gateway_block.number("most_held", 1, 1_000_000, 2_000),
@@ -115,7 +115,7 @@
 fn read_rules(root: &Block, base: &Rules) -> Rules {
     let Some(block) = root.only("rules") else { return base.clone() };
     let rules = Rules {
-        answer_grace: block.span("answer_slack", base.answer_grace),
+        outcome_grace: block.span("answer_slack", base.outcome_grace),
         warm_up_capacity: block.number("cold_from", 0.01, 1.0, base.warm_up_capacity),
         warm_up_time: block.span("cold", base.warm_up_time),
         overload_multiple: block.number("tip_multiple", 1.0, 100.0, base.overload_multiple),
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -68,7 +68,7 @@
     /// The rules as the gateways' settings state them.
     pub(crate) fn rules(&self) -> Rules {
         Rules {
-            answer_grace: span(self.answer_slack),
+            outcome_grace: span(self.answer_slack),
             warm_up_capacity: self.cold_from,
             warm_up_time: span(self.cold),
             overload_multiple: self.tip_multiple,
--- a/src/bin/cloverstile-sim-adapter/host.rs
+++ b/src/bin/cloverstile-sim-adapter/host.rs
@@ -110,7 +110,7 @@
             Record::FirstByte { who, call, .. } => (who, Event::FirstByte(MessageId(call))),
             Record::Finished(record) => (record.who, self.attempt_completed(&record)?),
             Record::TickDue { who, cookie } => (who, Event::TimerFired(cookie)),
-            Record::NoteFrom { who, from, msg } => (who, Event::NoteReceived { from, text: msg }),
+            Record::NoteFrom { who, from, msg } => (who, Event::PeerMessageReceived { from, text: msg }),
         }))
     }
 
@@ -135,7 +135,7 @@
             attempt: record.trial,
             outcome: outcome(record.code, record.detail)?,
             latency: Duration::from_nanos(record.delay),
-            complete: record.complete,
+            message_completed: record.complete,
             rate_limit: remaining.zip(limit).map(|(remaining, limit)| RateLimitStatus { remaining, limit }),
         }))
     }
@@ -201,10 +201,10 @@
         Action::AbandonAttempt { message, attempt } => {
             Reply::StopAttempt { who, call: message.0, trial: attempt }
         }
-        Action::Wake { after, token } => Reply::After { who, after: nanos(after), cookie: token },
+        Action::SetTimer { after, token } => Reply::After { who, after: nanos(after), cookie: token },
         Action::CloseIdle { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
         Action::Probe { endpoint } => Reply::SoundOut { who, endpoint: endpoint.0 },
-        Action::SendNote { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
+        Action::SendPeerMessage { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
         Action::Log { text } => Reply::Log { who, words: text },
         Action::SubscribeEndpoints { active } => Reply::KeepInformed { who, active },
         Action::RefreshEndpoints => Reply::Refresh { who },
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -74,7 +74,7 @@
     pub deadline: Time,
     /// An instance that was lost held it before; a keyed message may have run there.
     pub from_lost_instance: bool,
-    /// Marked as resubmitted (see [`crate::Settings::clients_mark_retries`]).
+    /// Marked as resubmitted (see [`crate::Settings::clients_mark_resubmissions`]).
     pub resubmitted: bool,
     /// Its tenant.
     pub tenant: TenantId,
@@ -122,7 +122,7 @@
     }
 
     /// Whether an attempt with this outcome had no response: it may still be running.
-    pub(crate) fn is_lost(self) -> bool {
+    pub(crate) fn may_still_be_running(self) -> bool {
         matches!(self, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Abandoned)
     }
 }
@@ -150,7 +150,7 @@
     /// Time from its sending to its completion.
     pub latency: Duration,
     /// The message has its final answer; if not, it is still owed.
-    pub complete: bool,
+    pub message_completed: bool,
     /// The rate limit that the response advertised.
     pub rate_limit: Option<RateLimitStatus>,
 }
@@ -178,7 +178,7 @@
     },
     /// A message was cancelled; no final answer is owed.
     Cancelled(MessageId),
-    /// The timer of an [`Action::Wake`] fired; its token.
+    /// The timer of an [`Action::SetTimer`] fired; its token.
     TimerFired(u64),
     /// The response to a streamed message began; the attempt now belongs to the client.
     FirstByte(MessageId),
@@ -192,7 +192,7 @@
         latency: Duration,
     },
     /// A note was received from another gateway instance.
-    NoteReceived {
+    PeerMessageReceived {
         /// The number of that instance.
         from: u32,
         /// Its text.
@@ -233,7 +233,7 @@
         attempt: u16,
     },
     /// Arm a timer: send [`Event::TimerFired`] with this token after this time.
-    Wake {
+    SetTimer {
         /// Time from now.
         after: Duration,
         /// Token of the event.
@@ -250,7 +250,7 @@
         endpoint: EndpointId,
     },
     /// Send a note of at most 256 bytes to one gateway instance, or to all.
-    SendNote {
+    SendPeerMessage {
         /// The number of the instance; none for all.
         to: Option<u16>,
         /// Its text.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -79,11 +79,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
     /// None.
-    Silent,
+    Ignored,
     /// The limit of the destination: requests a second from all gateway instances together.
     Nominal,
     /// The same, up to half too high or too low.
-    Rough,
+    Approximate,
 }
 
 /// How updates of the endpoint list are received.
@@ -92,7 +92,7 @@
     /// Without a subscription.
     Push,
     /// Only by subscribers ([`crate::Action::SubscribeEndpoints`], [`crate::Action::RefreshEndpoints`]).
-    Ask,
+    Subscribe,
 }
 
 /// How the value of a message decays after its latency objective.
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// A final answer is accepted until this long after the deadline.
-    pub answer_grace: Duration,
+    pub outcome_grace: Duration,
     /// Part of its capacity that a destination has at least right after an outage, from 0 to 1.
     pub warm_up_capacity: f64,
     /// It is warmed up after this time at the latest.
@@ -119,7 +119,7 @@
     pub overload_window: Duration,
     /// Cooldown of an order key after an attempt that may still be running.
     pub key_cooldown: Duration,
-    /// With [`Discovery::Ask`]: an instance not subscribed for this long counts as informed of the list.
+    /// With [`Discovery::Subscribe`]: an instance not subscribed for this long counts as informed of the list.
     pub discovery_interval: Duration,
 }
 
@@ -143,7 +143,7 @@
     /// How the value of a message decays.
     pub decay: Decay,
     /// Clients mark resubmitted messages.
-    pub clients_mark_retries: bool,
+    pub clients_mark_resubmissions: bool,
     /// Longest time that clients wait when told to retry later; none where they cannot be told.
     pub max_retry_after: Option<Duration>,
     /// Most requests in flight at once.
@@ -177,7 +177,7 @@
             weights: WeightSource::Nominal,
             discovery: Discovery::Push,
             decay: Decay::Linear,
-            clients_mark_retries: false,
+            clients_mark_resubmissions: false,
             max_retry_after: None,
             concurrency_limit: 16,
             max_queued: 400,
@@ -188,7 +188,7 @@
             connect_timeout: Duration::from_secs(1),
             connection_idle_timeout: Duration::from_secs(15),
             rules: Rules {
-                answer_grace: Duration::from_millis(20),
+                outcome_grace: Duration::from_millis(20),
                 warm_up_capacity: 0.2,
                 warm_up_time: Duration::from_secs(10),
                 overload_multiple: 2.0,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -26,7 +26,7 @@
     pub fn on_submitted(&mut self, now: Time, submission: Submission) {
         let Some(class) = self.settings.classes.get(usize::from(submission.class.0)) else { return };
         // If clients mark resubmissions, an unmarked message is new, however little time its deadline leaves.
-        let marked = self.settings.clients_mark_retries;
+        let marked = self.settings.clients_mark_resubmissions;
         let new = marked && !submission.resubmitted && !submission.from_lost_instance;
         let submitted_at = if new { now } else { (submission.deadline - class.deadline).min(now) };
         // A lost instance may have sent a keyed message at any time since its submission.
@@ -108,7 +108,7 @@
     pub fn expire_due_messages(&mut self, now: Time) {
         while let Some(id) = self.pop_due_expiry_check(now) {
             let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
-            let grace_end = message.submission.deadline + self.settings.rules.answer_grace / 2;
+            let grace_end = message.submission.deadline + self.settings.rules.outcome_grace / 2;
             if message.in_flight.is_some() && now < grace_end {
                 self.schedule_expiry_check(grace_end, id);
             } else {
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -27,14 +27,16 @@
             message.not_before = now + delay.mul_f64(self.rng.f64());
         }
         // An attempt that may still be running starts the cooldown of its key before the key's next message.
-        if let (true, true, Some(key)) = (attempt.outcome.is_lost(), class.ordered, message.submission.key) {
+        if let (true, true, Some(key)) =
+            (attempt.outcome.may_still_be_running(), class.ordered, message.submission.key)
+        {
             self.start_key_cooldown(now, key, attempt.outcome);
         }
         // The messages of a batch share one outcome, so the route records it once, with the last of them.
         if let Some(request) = self.take_completed_request(request_id) {
             self.on_request_completed(now, &request, attempt);
         }
-        if attempt.complete {
+        if attempt.message_completed {
             self.complete(attempt.message);
         } else if let Some(message) = self.messages.get(&attempt.message) {
             // What can't be sent again gets its final outcome now: it would fill the queue and block its key.
@@ -56,7 +58,7 @@
 
     /// Records the outcome of a request for its endpoint, connection and route.
     fn on_request_completed(&mut self, now: Time, request: &InFlightRequest, attempt: &AttemptCompleted) {
-        let lost = attempt.outcome.is_lost();
+        let lost = attempt.outcome.may_still_be_running();
         let idle_as_long = |idle| idle >= self.idle_risk.shortest_stale_idle;
         let stale =
             lost && self.idle_risk.stale_risk > 0.0 && request.connection_idle.is_some_and(idle_as_long);
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -22,7 +22,7 @@
     fn schedule_subscription(&mut self, now: Time, failed: bool) {
         let is_first = self.endpoints.is_empty();
         self.failed_subscriptions = if failed { self.failed_subscriptions + 1 } else { 0 };
-        if self.settings.discovery == Discovery::Ask && (failed || is_first) {
+        if self.settings.discovery == Discovery::Subscribe && (failed || is_first) {
             let delay =
                 SUBSCRIBE_BACKOFF.delay(self.settings.rules.discovery_interval, self.failed_subscriptions);
             self.subscribe_at = Some(now + delay.mul_f64(self.rng.f64()));
@@ -30,7 +30,7 @@
     }
 
     fn update_listed_endpoint(&mut self, now: Time, entry: Endpoint) {
-        let advertised = self.settings.weights != WeightSource::Silent;
+        let advertised = self.settings.weights != WeightSource::Ignored;
         let limit = if advertised { entry.weight.max(0.1) } else { 0.0 };
         let kind = self.settings.kinds.get(usize::from(entry.kind.0));
         let max_batch = kind.map_or(1, |kind| kind.max_batch.max(1));
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -32,7 +32,7 @@
     /// Updates the loss risks: a loss on an idle connection raises the stale risk, and a response on one that
     /// was idle at least as long as the shortest loss lowers it.
     pub fn record_connection_outcome(&mut self, now: Time, idle: Option<Duration>, outcome: AttemptOutcome) {
-        let (lost, responded) = (outcome.is_lost(), outcome == AttemptOutcome::Ok);
+        let (lost, responded) = (outcome.may_still_be_running(), outcome == AttemptOutcome::Ok);
         let objective = shortest_objective_s(&self.settings);
         let risk = &mut self.idle_risk;
         let Some(idle) = idle.filter(|idle| idle.as_secs_f64() > objective * MIN_IDLE_OBJECTIVES) else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -49,7 +49,7 @@
             Event::RetryAfter { endpoint, wait } => state.on_retry_after(now, endpoint, wait),
             Event::Cancelled(id) => state.complete(id),
             Event::TimerFired(token) => state.clear_timer(token),
-            Event::FirstByte(_) | Event::ProbeCompleted { .. } | Event::NoteReceived { .. } => {}
+            Event::FirstByte(_) | Event::ProbeCompleted { .. } | Event::PeerMessageReceived { .. } => {}
         }
     }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -83,7 +83,7 @@
     /// endpoint has its own route.
     pub fn round_robin_step(&self, entry: &Endpoint) -> u64 {
         let per_endpoint = self.route_of(entry).endpoint.is_some();
-        let weighted = per_endpoint && self.settings.weights != WeightSource::Silent;
+        let weighted = per_endpoint && self.settings.weights != WeightSource::Ignored;
         ((1u64 << 32) as f64 / if weighted { entry.weight.max(0.1) } else { 1.0 }) as u64
     }
 
--- a/src/policy_state/mod.rs
+++ b/src/policy_state/mod.rs
@@ -277,7 +277,7 @@
             self.last_timer_token += 1;
             let token = self.last_timer_token;
             self.timer = Some(ArmedTimer { at, token });
-            self.actions.push(Action::Wake { after: at - now, token });
+            self.actions.push(Action::SetTimer { after: at - now, token });
         }
     }
 
--- a/src/settings_parser.rs
+++ b/src/settings_parser.rs
@@ -13,7 +13,7 @@
 pub enum SettingError {
     /// A line without an equals sign.
     #[error("line {line}: '{text}' is not path=value")]
-    Line {
+    InvalidLine {
         /// Its number, from 1.
         line: usize,
         /// Its text.
@@ -21,7 +21,7 @@
     },
     /// A value that its setting does not allow.
     #[error("setting {path}: '{value}' cannot be read")]
-    Value {
+    InvalidValue {
         /// Path of the setting.
         path: String,
         /// Its text.
@@ -47,7 +47,7 @@
     fn split(text: &'a str) -> Result<Self, SettingError> {
         let mut values = BTreeMap::new();
         for (index, line) in text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-            let unreadable = || SettingError::Line { line: index + 1, text: line.to_owned() };
+            let unreadable = || SettingError::InvalidLine { line: index + 1, text: line.to_owned() };
             let (path, value) = line.split_once('=').ok_or_else(unreadable)?;
             values.insert(path, value);
         }
@@ -86,7 +86,7 @@
 }
 
 fn bad(path: &str, value: &str) -> SettingError {
-    SettingError::Value { path: path.to_owned(), value: value.to_owned() }
+    SettingError::InvalidValue { path: path.to_owned(), value: value.to_owned() }
 }
 
 fn parse<T: FromStr>(path: &str, value: &str) -> Result<T, SettingError> {
@@ -111,25 +111,25 @@
         kinds: kinds(&lines)?,
         weights: lines.choice(
             "WeightSource",
-            WeightSource::Silent,
+            WeightSource::Ignored,
             &[
-                ("silent", WeightSource::Silent),
+                ("silent", WeightSource::Ignored),
                 ("nominal", WeightSource::Nominal),
-                ("rough", WeightSource::Rough),
-                ("live", WeightSource::Silent),
+                ("rough", WeightSource::Approximate),
+                ("live", WeightSource::Ignored),
             ],
         )?,
         discovery: lines.choice(
             "Discovery",
             base.discovery,
-            &[("push", Discovery::Push), ("ask", Discovery::Ask)],
+            &[("push", Discovery::Push), ("ask", Discovery::Subscribe)],
         )?,
         decay: lines.choice(
             "FamilyInfo.Decay",
             base.decay,
             &[("line", Decay::Linear), ("halves", Decay::Halving)],
         )?,
-        clients_mark_retries: lines.or("ClientHabits.MarksRetry", base.clients_mark_retries)?,
+        clients_mark_resubmissions: lines.or("ClientHabits.MarksRetry", base.clients_mark_resubmissions)?,
         max_retry_after: if lines.or("Permissions.RetryAfter", false)? {
             lines.get("Permissions.MaxRetryAfter")?.map(Duration::from_nanos)
         } else {
@@ -150,7 +150,7 @@
 
 fn rules(lines: &Lines, base: &Rules) -> Result<Rules, SettingError> {
     Ok(Rules {
-        answer_grace: lines.span("Rules.AnswerSlack", base.answer_grace)?,
+        outcome_grace: lines.span("Rules.AnswerSlack", base.outcome_grace)?,
         warm_up_capacity: lines.or("Rules.ColdFrom", base.warm_up_capacity)?,
         warm_up_time: lines.span("Rules.Cold", base.warm_up_time)?,
         overload_multiple: lines.or("Rules.TipMultiple", base.overload_multiple)?,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -136,7 +136,7 @@
         while self.now < end {
             self.now = self.now + ms(5);
             let mut actions = self.next_actions();
-            actions.retain(|a| !matches!(a, Action::Wake { .. }));
+            actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
             if !actions.is_empty() {
                 return actions;
             }
@@ -187,7 +187,7 @@
             attempt,
             outcome,
             latency,
-            complete: outcome == AttemptOutcome::Ok,
+            message_completed: outcome == AttemptOutcome::Ok,
             rate_limit,
         }));
     }
--- a/tests/common/shared_destination.rs
+++ b/tests/common/shared_destination.rs
@@ -277,7 +277,7 @@
                 attempt,
                 outcome,
                 latency,
-                complete,
+                message_completed: complete,
                 rate_limit,
             };
             let instance = &mut self.instances[instance];
@@ -297,7 +297,7 @@
         let mut request = None;
         for action in actions {
             match action {
-                Action::Wake { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.instances[instance].timer = Some((self.now + after, token));
                 }
                 Action::Send { message, timeout, .. } => {
--- a/tests/delivery_policy.rs
+++ b/tests/delivery_policy.rs
@@ -38,7 +38,7 @@
         harness.run_until_action(Duration::from_secs(30)),
         [Action::Reject { message: MessageId(1), retry_after: Duration::ZERO }]
     );
-    assert!(harness.now <= deadline + harness.settings.rules.answer_grace);
+    assert!(harness.now <= deadline + harness.settings.rules.outcome_grace);
     assert!(harness.run_until_action(Duration::from_secs(30)).is_empty());
 }
 
@@ -372,7 +372,7 @@
     (0..5).for_each(|id| harness.submit(id, 0, 1, None));
     harness.next_sends();
     harness.now = harness.now + Duration::from_secs(100_000);
-    let outcomes = harness.next_actions().iter().filter(|a| !matches!(a, Action::Wake { .. })).count();
+    let outcomes = harness.next_actions().iter().filter(|a| !matches!(a, Action::SetTimer { .. })).count();
     assert_eq!(outcomes, 5);
 }
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -32,7 +32,7 @@
     let interval = Settings::default().rules.discovery_interval;
     let mut delays: Vec<Duration> = (0..40)
         .map(|seed| {
-            time_to_subscription(&mut harness(Discovery::Ask, seed), interval).expect("no subscription")
+            time_to_subscription(&mut harness(Discovery::Subscribe, seed), interval).expect("no subscription")
         })
         .collect();
     delays.sort_unstable();
@@ -49,7 +49,7 @@
 #[test]
 fn failed_subscription_is_retried_and_a_successful_one_is_not() {
     let interval = Settings::default().rules.discovery_interval;
-    let mut harness = harness(Discovery::Ask, 1);
+    let mut harness = harness(Discovery::Subscribe, 1);
     for _ in 0..5 {
         assert!(time_to_subscription(&mut harness, interval * 2).is_some());
         harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Unavailable));
--- a/tests/many_instances.rs
+++ b/tests/many_instances.rs
@@ -196,7 +196,7 @@
 #[test]
 fn unadvertised_rate_does_not_limit_before_a_rejection() {
     let mut harness =
-        low_traffic_harness(Settings { weights: WeightSource::Silent, ..settings(vec![safe_class()]) }, 1);
+        low_traffic_harness(Settings { weights: WeightSource::Ignored, ..settings(vec![safe_class()]) }, 1);
     for id in 0..100 {
         harness.submit(id, 0, 1, None);
         assert_eq!(harness.next_sends().len(), 1, "message {id}");
@@ -208,9 +208,9 @@
 /// Where clients mark resubmitted messages, a new message with a short time to its deadline does not count as late.
 #[test]
 fn new_message_with_short_deadline_has_full_value_where_retries_are_marked() {
-    let first_sent = |clients_mark_retries: bool| {
+    let first_sent = |clients_mark_resubmissions: bool| {
         let decaying = Class { late_value_ratio: 0.1, ..safe_class() };
-        let base = Settings { concurrency_limit: 1, clients_mark_retries, ..settings(vec![decaying]) };
+        let base = Settings { concurrency_limit: 1, clients_mark_resubmissions, ..settings(vec![decaying]) };
         let mut harness = low_traffic_harness(base, 2);
         let class = (ClassId(0), &harness.settings.classes[0].clone());
         let short = common::submission(harness.now, 1, class, 1, None);
@@ -228,7 +228,7 @@
 fn instances_rejected_without_a_limit_do_not_retry_together() {
     let mut retried = 0;
     for seed in 0..70 {
-        let silent = Settings { weights: WeightSource::Silent, ..settings(vec![safe_class()]) };
+        let silent = Settings { weights: WeightSource::Ignored, ..settings(vec![safe_class()]) };
         retried += usize::from(is_retried_within_8_s(
             &mut low_traffic_harness_with_seed(silent, 1, seed),
             1,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -124,7 +124,7 @@
         let message = self.messages.get_mut(&id).expect("final outcome of an unknown message");
         assert!(!message.completed, "more than one final outcome");
         assert!(
-            now <= message.deadline + self.settings.rules.answer_grace,
+            now <= message.deadline + self.settings.rules.outcome_grace,
             "final outcome after the deadline and its grace period"
         );
         message.completed = true;
