--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -29,7 +29,7 @@
 //! | `Event::Cancelled` | a message completed by the engine itself: cancelled or rejected by the gateway, proved delivered by a late receipt, or pending at the end of a shutdown; a message that changes its tier. A client's lost connection is none: the client resubmits to get its outcome |
 //! | `Event::TimerFired` | [`Engine::advance`] |
 //! | `Event::ProbeCompleted` | [`Engine::on_probe_completed`] |
-//! | `Event::FirstByte`, `Event::PeerMessageReceived` | never: responses are not streamed, instances send no notes |
+//! | `Event::FirstByte`, `Event::PeerMessageReceived` | never: responses are not streamed, instances send each other no messages |
 //!
 //! Modules, each of which uses only those above it:
 //!
--- a/src/bin/cloverstile-sim-adapter/host.rs
+++ b/src/bin/cloverstile-sim-adapter/host.rs
@@ -1,7 +1,6 @@
-//! Table of simulated gateway instances: translates records to events of their policies, and actions to replies.
-//! Field names of records and replies are those of the simulator's wire.
+//! Runs the policies of simulated gateway instances: converts records into events, and actions into replies.
 
-use crate::wire::{Entry, FinishedRecord, Record, Reply, WireError};
+use crate::wire::{AttemptCompletedRecord, EndpointEntry, Record, Reply, WireError};
 use cloverstile::{
     parse_settings, Action, AttemptCompleted, AttemptOutcome, ClassId, DeliveryPolicy, DestinationId,
     Endpoint, EndpointId, EndpointListUpdate, EndpointState, Event, KindId, MessageId, OrderKey,
@@ -11,150 +10,174 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-/// Option bits of an `Accept` record.
+/// Option bits of a [`Record::Submitted`].
 const OPTION_RESUBMITTED: u8 = 2;
 const OPTION_FROM_LOST_INSTANCE: u8 = 16;
 
+/// A simulated gateway instance.
 struct Instance {
     policy: DeliveryPolicy,
-    /// Positions in the report of a response.
+    /// Position in a load report of the part of the rate limit that remains.
     remaining_field: Option<usize>,
+    /// Position in a load report of the rate limit.
     limit_field: Option<usize>,
 }
 
-/// All instances of this process, and the numbered endpoint lists that records refer to.
+/// The instances of this process by number, and the endpoint lists that records refer to by number.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
-    sheets: BTreeMap<u16, Vec<Endpoint>>,
+    endpoint_lists: BTreeMap<u16, Vec<Endpoint>>,
 }
 
-/// An error that a batch cannot be processed for.
+/// Why a batch cannot be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
+    /// The settings of a new instance are invalid; `who` is its number.
     #[error("instance {who}: {error}")]
     Setting { who: u16, error: SettingError },
+    /// A record has a value that is not defined.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
 impl Host {
-    /// Processes the records of a batch at this time, in nanoseconds, and returns the replies of their instances.
-    pub fn run(&mut self, clock: u64, records: Vec<Record>) -> Result<Vec<Reply>, HostError> {
+    /// Processes the records of a batch in order, then takes the actions of each instance that was sent an event, and
+    /// returns them as replies. `clock` is the time in nanoseconds.
+    pub fn process_batch(&mut self, clock: u64, records: Vec<Record>) -> Result<Vec<Reply>, HostError> {
         let now = Time(clock);
-        let mut touched = Vec::new();
+        let mut notified = Vec::new();
         let mut replies = Vec::new();
         for record in records {
-            let Some((who, event)) = self.translate(record)? else {
+            let Some((number, event)) = self.apply(record)? else {
                 continue;
             };
-            if let Some(instance) = self.instances.get_mut(&who) {
-                if !touched.contains(&who) {
-                    touched.push(who);
+            if let Some(instance) = self.instances.get_mut(&number) {
+                if !notified.contains(&number) {
+                    notified.push(number);
                 }
-                guarded(who, &mut replies, || instance.policy.on_event(now, event));
+                catch_panic(number, &mut replies, || instance.policy.on_event(now, event));
             }
         }
         let mut actions = Vec::new();
-        for who in touched {
-            let Some(instance) = self.instances.get_mut(&who) else {
+        for number in notified {
+            let Some(instance) = self.instances.get_mut(&number) else {
                 continue;
             };
-            guarded(who, &mut replies, || instance.policy.next_actions(now, &mut actions));
-            replies.extend(actions.drain(..).map(|action| reply(who, action)));
+            catch_panic(number, &mut replies, || instance.policy.next_actions(now, &mut actions));
+            replies.extend(actions.drain(..).map(|action| to_reply(number, action)));
         }
         Ok(replies)
     }
 
-    /// The event of a record, or none where the record concerns the table alone.
-    fn translate(&mut self, record: Record) -> Result<Option<(u16, Event)>, HostError> {
+    /// Converts a record to an event and the number of its instance. A record that creates or removes an instance or
+    /// defines an endpoint list takes effect here and has no event.
+    fn apply(&mut self, record: Record) -> Result<Option<(u16, Event)>, HostError> {
         Ok(Some(match record {
-            Record::NewInstance { who, nonce, config } => {
+            Record::NewInstance { instance, seed, settings } => {
                 let ParsedSettings { settings, remaining_field, limit_field } =
-                    parse_settings(&config).map_err(|error| HostError::Setting { who, error })?;
-                let policy = DeliveryPolicy::new(settings, nonce);
-                self.instances.insert(who, Instance { policy, remaining_field, limit_field });
+                    parse_settings(&settings).map_err(|error| HostError::Setting { who: instance, error })?;
+                let policy = DeliveryPolicy::new(settings, seed);
+                self.instances.insert(instance, Instance { policy, remaining_field, limit_field });
                 return Ok(None);
             }
-            Record::Teardown { who } => {
-                self.instances.remove(&who);
+            Record::RemoveInstance { instance } => {
+                self.instances.remove(&instance);
                 return Ok(None);
             }
-            Record::Sheet { slot, entries } => {
-                let entries = entries.iter().map(endpoint).collect::<Result<_, _>>()?;
-                self.sheets.insert(slot, entries);
+            Record::EndpointList { list, entries } => {
+                let entries = entries.iter().map(to_endpoint).collect::<Result<_, _>>()?;
+                self.endpoint_lists.insert(list, entries);
                 return Ok(None);
             }
-            Record::Members { who, slot, kind, .. } => {
-                (who, Event::EndpointsUpdated(self.endpoint_list_update(slot, kind)?))
+            Record::EndpointsUpdated { instance, list, update_kind, .. } => {
+                (instance, Event::EndpointsUpdated(self.endpoint_list_update(list, update_kind)?))
             }
-            Record::Accept { who, call, profile, dest, key, deadline, opts, owner, .. } => {
+            Record::Submitted {
+                instance,
+                message,
+                class,
+                destination,
+                order_key,
+                deadline,
+                options,
+                tenant,
+                ..
+            } => {
                 let submission = Submission {
-                    id: MessageId(call),
-                    class: ClassId(profile),
-                    destination: DestinationId(dest as u16),
-                    key: (key != 0).then_some(OrderKey(key)),
+                    id: MessageId(message),
+                    class: ClassId(class),
+                    destination: DestinationId(destination as u16),
+                    key: (order_key != 0).then_some(OrderKey(order_key)),
                     deadline: Time(deadline),
-                    from_lost_instance: opts & OPTION_FROM_LOST_INSTANCE != 0,
-                    resubmitted: opts & OPTION_RESUBMITTED != 0,
-                    tenant: TenantId(owner),
+                    from_lost_instance: options & OPTION_FROM_LOST_INSTANCE != 0,
+                    resubmitted: options & OPTION_RESUBMITTED != 0,
+                    tenant: TenantId(tenant),
                 };
-                (who, Event::Submitted(submission))
+                (instance, Event::Submitted(submission))
             }
-            Record::ProbeDone { who, code, delay, endpoint, .. } => {
-                let outcome = outcome(code, 0)?;
+            Record::ProbeCompleted { instance, outcome_code, latency, endpoint, .. } => {
+                let outcome = to_outcome(outcome_code, 0)?;
                 let endpoint = EndpointId(endpoint);
-                (who, Event::ProbeCompleted { endpoint, outcome, latency: Duration::from_nanos(delay) })
+                (
+                    instance,
+                    Event::ProbeCompleted { endpoint, outcome, latency: Duration::from_nanos(latency) },
+                )
+            }
+            Record::Cancelled { instance, message } => (instance, Event::Cancelled(MessageId(message))),
+            Record::FirstByte { instance, message, .. } => (instance, Event::FirstByte(MessageId(message))),
+            Record::AttemptCompleted(record) => (record.instance, self.attempt_completed(&record)?),
+            Record::TimerFired { instance, token } => (instance, Event::TimerFired(token)),
+            Record::PeerMessageReceived { instance, from, payload } => {
+                (instance, Event::PeerMessageReceived { from, payload })
             }
-            Record::ClientGone { who, call } => (who, Event::Cancelled(MessageId(call))),
-            Record::FirstByte { who, call, .. } => (who, Event::FirstByte(MessageId(call))),
-            Record::Finished(record) => (record.who, self.attempt_completed(&record)?),
-            Record::TickDue { who, cookie } => (who, Event::TimerFired(cookie)),
-            Record::NoteFrom { who, from, msg } => (who, Event::PeerMessageReceived { from, text: msg }),
         }))
     }
 
-    fn endpoint_list_update(&self, slot: u16, kind: u8) -> Result<EndpointListUpdate, HostError> {
-        let entries = || self.sheets.get(&slot).cloned().unwrap_or_default();
-        Ok(match kind {
+    fn endpoint_list_update(&self, list: u16, update_kind: u8) -> Result<EndpointListUpdate, HostError> {
+        let entries = || self.endpoint_lists.get(&list).cloned().unwrap_or_default();
+        Ok(match update_kind {
             0 => EndpointListUpdate::Delta(entries()),
             1 | 2 => EndpointListUpdate::Snapshot(entries()),
             3 => EndpointListUpdate::Unavailable,
-            other => return Err(unknown("Kind", u32::from(other))),
+            other => return Err(unknown_value("Kind", u32::from(other))),
         })
     }
 
-    fn attempt_completed(&self, record: &FinishedRecord) -> Result<Event, HostError> {
-        let instance = self.instances.get(&record.who);
-        let value = |at: Option<usize>| at.and_then(|at| record.report.get(at)).map(|v| f64::from(*v));
+    fn attempt_completed(&self, record: &AttemptCompletedRecord) -> Result<Event, HostError> {
+        let instance = self.instances.get(&record.instance);
+        let value = |position: Option<usize>| {
+            position.and_then(|position| record.load_report.get(position)).map(|v| f64::from(*v))
+        };
         let remaining = value(instance.and_then(|instance| instance.remaining_field));
         let limit = value(instance.and_then(|instance| instance.limit_field));
         Ok(Event::AttemptCompleted(AttemptCompleted {
-            message: MessageId(record.call),
+            message: MessageId(record.message),
             endpoint: EndpointId(record.endpoint),
-            attempt: record.trial,
-            outcome: outcome(record.code, record.detail)?,
-            latency: Duration::from_nanos(record.delay),
-            message_completed: record.complete,
+            attempt: record.attempt,
+            outcome: to_outcome(record.outcome_code, record.detail)?,
+            latency: Duration::from_nanos(record.latency),
+            message_completed: record.message_completed,
             rate_limit: remaining.zip(limit).map(|(remaining, limit)| RateLimitStatus { remaining, limit }),
         }))
     }
 }
 
-/// Runs a step of a policy; a panic becomes a reply with its text.
-fn guarded(who: u16, replies: &mut Vec<Reply>, step: impl FnOnce()) {
-    if let Err(cause) = catch_unwind(AssertUnwindSafe(step)) {
-        let text = cause.downcast_ref::<&str>().map(|s| (*s).to_owned());
-        let text = text.or_else(|| cause.downcast_ref::<String>().cloned());
-        replies.push(Reply::Panic { who, words: text.unwrap_or_else(|| "panic without a text".to_owned()) });
+/// Calls a policy; a panic becomes a reply with its text.
+fn catch_panic(instance: u16, replies: &mut Vec<Reply>, call: impl FnOnce()) {
+    if let Err(payload) = catch_unwind(AssertUnwindSafe(call)) {
+        let text = payload.downcast_ref::<&str>().map(|s| (*s).to_owned());
+        let text = text.or_else(|| payload.downcast_ref::<String>().cloned());
+        replies
+            .push(Reply::Panic { instance, text: text.unwrap_or_else(|| "panic without a text".to_owned()) });
     }
 }
 
-fn unknown(field: &'static str, value: u32) -> HostError {
-    HostError::Wire(WireError::Value { at: 0, field, value })
+fn unknown_value(field: &'static str, value: u32) -> HostError {
+    HostError::Wire(WireError::UnknownValue { at: 0, field, value })
 }
 
-fn outcome(code: u16, detail: u32) -> Result<AttemptOutcome, HostError> {
+fn to_outcome(code: u16, detail: u32) -> Result<AttemptOutcome, HostError> {
     Ok(match code {
         100 => AttemptOutcome::Ok,
         301 => AttemptOutcome::Error,
@@ -164,49 +187,55 @@
         305 => AttemptOutcome::Reset,
         306 => AttemptOutcome::Abandoned,
         307 => AttemptOutcome::Unsent,
-        other => return Err(unknown("Code", u32::from(other))),
+        other => return Err(unknown_value("Code", u32::from(other))),
     })
 }
 
-fn endpoint(entry: &Entry) -> Result<Endpoint, HostError> {
+fn to_endpoint(entry: &EndpointEntry) -> Result<Endpoint, HostError> {
     Ok(Endpoint {
         id: EndpointId(entry.endpoint),
         zone: ZoneId(entry.zone),
         kind: KindId(entry.kind),
-        destination: DestinationId(entry.cell),
-        state: match entry.mode {
+        destination: DestinationId(entry.destination),
+        state: match entry.state {
             3 => EndpointState::Ready,
             1 => EndpointState::Draining,
             2 => EndpointState::Removed,
-            other => return Err(unknown("Mode", u32::from(other))),
+            other => return Err(unknown_value("Mode", u32::from(other))),
         },
         weight: f64::from(entry.weight),
     })
 }
 
-fn nanos(span: Duration) -> u64 {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
+fn to_nanos(duration: Duration) -> u64 {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// The reply of an action. A time-out of zero means none on the wire, so that the shortest is a nanosecond.
-fn reply(who: u16, action: Action) -> Reply {
+/// Converts an action to a reply. On the wire a timeout of zero means none; an attempt that has no time left gets one
+/// nanosecond.
+fn to_reply(instance: u16, action: Action) -> Reply {
     match action {
-        Action::Send { message, endpoint, timeout } => {
-            Reply::Route { who, call: message.0, endpoint: endpoint.0, try_for: nanos(timeout).max(1) }
-        }
+        Action::Send { message, endpoint, timeout } => Reply::Send {
+            instance,
+            message: message.0,
+            endpoint: endpoint.0,
+            timeout: to_nanos(timeout).max(1),
+        },
         Action::Reject { message, retry_after } => {
-            Reply::Busy { who, call: message.0, stay_away: nanos(retry_after) }
+            Reply::Reject { instance, message: message.0, retry_after: to_nanos(retry_after) }
         }
-        Action::Fail { message } => Reply::ReportFailure { who, call: message.0 },
+        Action::Fail { message } => Reply::Fail { instance, message: message.0 },
         Action::AbandonAttempt { message, attempt } => {
-            Reply::StopAttempt { who, call: message.0, trial: attempt }
+            Reply::AbandonAttempt { instance, message: message.0, attempt }
+        }
+        Action::SetTimer { after, token } => Reply::SetTimer { instance, after: to_nanos(after), token },
+        Action::CloseIdle { endpoint } => Reply::CloseIdle { instance, endpoint: endpoint.0 },
+        Action::Probe { endpoint } => Reply::Probe { instance, endpoint: endpoint.0 },
+        Action::SendPeerMessage { to, payload } => {
+            Reply::SendPeerMessage { instance, to: to.unwrap_or(u16::MAX), payload }
         }
-        Action::SetTimer { after, token } => Reply::After { who, after: nanos(after), cookie: token },
-        Action::CloseIdle { endpoint } => Reply::CloseIdle { who, endpoint: endpoint.0 },
-        Action::Probe { endpoint } => Reply::SoundOut { who, endpoint: endpoint.0 },
-        Action::SendPeerMessage { to, text } => Reply::Tell { who, peer: to.unwrap_or(u16::MAX), msg: text },
-        Action::Log { text } => Reply::Log { who, words: text },
-        Action::SubscribeEndpoints { active } => Reply::KeepInformed { who, active },
-        Action::RefreshEndpoints => Reply::Refresh { who },
+        Action::Log { text } => Reply::Log { instance, text },
+        Action::SubscribeEndpoints { active } => Reply::SubscribeEndpoints { instance, active },
+        Action::RefreshEndpoints => Reply::RefreshEndpoints { instance },
     }
 }
--- a/src/bin/cloverstile-sim-adapter/wire.rs
+++ b/src/bin/cloverstile-sim-adapter/wire.rs
@@ -1,139 +1,138 @@
-//! Codec of frames: bytes to records, and replies to bytes. Big-endian, no padding. Names of records, replies and
-//! fields are those of the simulator's wire.
+//! Codec of the simulator's protocol: decodes batches into records and encodes replies. Integers and floats are
+//! big-endian, without padding. Errors name a field as the protocol does (`Who`, `Call`, `Dest`).
 
 use thiserror::Error;
 
-/// An error in a frame; `at` is the position, in bytes from the start of its body.
+/// An error in a frame; `at` is the offset from the start of its body, in bytes.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
     #[error("byte {at}: {field} is cut short")]
-    Short { at: usize, field: &'static str },
+    Truncated { at: usize, field: &'static str },
     #[error("byte {at}: record {index} has the unknown code {code}")]
-    Code { at: usize, index: u32, code: u8 },
+    UnknownRecordCode { at: usize, index: u32, code: u8 },
     #[error("byte {at}: {field} has the unknown value {value}")]
-    Value { at: usize, field: &'static str, value: u32 },
+    UnknownValue { at: usize, field: &'static str, value: u32 },
     #[error("byte {at}: {left} bytes left over after the last record")]
-    Left { at: usize, left: usize },
+    TrailingBytes { at: usize, left: usize },
     #[error("byte {at}: the settings are not UTF-8 text")]
-    Text { at: usize },
+    InvalidUtf8 { at: usize },
 }
 
 /// An entry of a numbered endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub endpoint: u32,
     pub zone: u8,
+    /// Index into the kinds of the settings.
     pub kind: u16,
-    pub cell: u16,
-    pub mode: u8,
+    pub destination: u16,
+    /// 1: draining, 2: removed, 3: ready.
+    pub state: u8,
     pub weight: f32,
-    pub up_since: u64,
+    /// The time since which the endpoint has been up.
+    pub started_at: u64,
 }
 
-/// A record of a batch.
+/// A record of a batch. `instance` is the number of the gateway instance that it is for; times and durations are in
+/// nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
+    /// Creates an instance; one that has this number is replaced.
     NewInstance {
-        who: u16,
-        nonce: u64,
-        config: String,
+        instance: u16,
+        /// Seed of the policy's random numbers.
+        seed: u64,
+        /// Text for [`cloverstile::parse_settings`].
+        settings: String,
     },
-    Sheet {
-        slot: u16,
-        entries: Vec<Entry>,
-    },
-    Members {
-        who: u16,
-        slot: u16,
+    /// Defines a numbered endpoint list for later records.
+    EndpointList { list: u16, entries: Vec<EndpointEntry> },
+    /// An update of an instance's endpoint list, with the entries of a numbered list.
+    EndpointsUpdated {
+        instance: u16,
+        list: u16,
         generation: u32,
-        kind: u8,
+        /// 0: the entries that changed, 1 and 2: the whole list, 3: the list could not be read.
+        update_kind: u8,
     },
-    Accept {
-        who: u16,
-        call: u32,
-        profile: u8,
-        dest: f32,
-        key: u64,
+    /// A client submitted a message.
+    Submitted {
+        instance: u16,
+        message: u32,
+        class: u8,
+        /// Number of the destination. The protocol sends it as a float.
+        destination: f32,
+        /// Zero where the message has none.
+        order_key: u64,
         deadline: u64,
-        hint: u64,
-        opts: u8,
-        owner: u32,
-    },
-    Teardown {
-        who: u16,
-    },
-    ProbeDone {
-        who: u16,
-        code: u16,
-        delay: u64,
-        endpoint: u32,
-        report: Vec<f32>,
-    },
-    ClientGone {
-        who: u16,
-        call: u32,
-    },
-    FirstByte {
-        who: u16,
-        call: u32,
-        endpoint: u32,
-        trial: u16,
-        delay: u64,
-    },
-    Finished(FinishedRecord),
-    TickDue {
-        who: u16,
-        cookie: u64,
-    },
-    NoteFrom {
-        who: u16,
-        from: u32,
-        msg: Vec<u8>,
+        weight_hint: u64,
+        /// Bits: 2 for a resubmitted message, 16 for one from a lost instance. Others are ignored.
+        options: u8,
+        tenant: u32,
     },
+    /// Removes an instance.
+    RemoveInstance { instance: u16 },
+    /// A probe completed.
+    ProbeCompleted { instance: u16, outcome_code: u16, latency: u64, endpoint: u32, load_report: Vec<f32> },
+    /// The client no longer waits for the message's final outcome.
+    Cancelled { instance: u16, message: u32 },
+    /// The response to a streamed message began.
+    FirstByte { instance: u16, message: u32, endpoint: u32, attempt: u16, latency: u64 },
+    /// An attempt completed.
+    AttemptCompleted(AttemptCompletedRecord),
+    /// A timer fired.
+    TimerFired { instance: u16, token: u64 },
+    /// Another instance sent a message to this one.
+    PeerMessageReceived { instance: u16, from: u32, payload: Vec<u8> },
 }
 
 /// The completion of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FinishedRecord {
-    pub who: u16,
-    pub call: u32,
-    pub code: u16,
-    pub delay: u64,
-    pub complete: bool,
+pub struct AttemptCompletedRecord {
+    pub instance: u16,
+    pub message: u32,
+    pub outcome_code: u16,
+    pub latency: u64,
+    /// The message has its final outcome.
+    pub message_completed: bool,
     pub endpoint: u32,
-    pub trial: u16,
+    /// Number of the attempt, from 0.
+    pub attempt: u16,
+    /// For a rejected attempt its `Retry-After` in milliseconds; zero where there is none.
     pub detail: u32,
-    pub report: Vec<f32>,
+    /// Values in the order of the setting `Report.Fields`.
+    pub load_report: Vec<f32>,
 }
 
-/// A record of a reply.
+/// An action of an instance's policy, or a panic in it, as a record of a reply frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Route { who: u16, call: u32, endpoint: u32, try_for: u64 },
-    Busy { who: u16, call: u32, stay_away: u64 },
-    ReportFailure { who: u16, call: u32 },
-    StopAttempt { who: u16, call: u32, trial: u16 },
-    After { who: u16, after: u64, cookie: u64 },
-    SoundOut { who: u16, endpoint: u32 },
-    CloseIdle { who: u16, endpoint: u32 },
-    Tell { who: u16, peer: u16, msg: Vec<u8> },
-    Log { who: u16, words: String },
-    Panic { who: u16, words: String },
-    KeepInformed { who: u16, active: bool },
-    Refresh { who: u16 },
+    Send { instance: u16, message: u32, endpoint: u32, timeout: u64 },
+    Reject { instance: u16, message: u32, retry_after: u64 },
+    Fail { instance: u16, message: u32 },
+    AbandonAttempt { instance: u16, message: u32, attempt: u16 },
+    SetTimer { instance: u16, after: u64, token: u64 },
+    Probe { instance: u16, endpoint: u32 },
+    CloseIdle { instance: u16, endpoint: u32 },
+    SendPeerMessage { instance: u16, to: u16, payload: Vec<u8> },
+    Log { instance: u16, text: String },
+    Panic { instance: u16, text: String },
+    SubscribeEndpoints { instance: u16, active: bool },
+    RefreshEndpoints { instance: u16 },
 }
 
+/// Decodes the body of a batch.
 struct Reader<'a> {
     body: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize, field: &'static str) -> Result<&'a [u8], WireError> {
-        let short = WireError::Short { at: self.at, field };
-        let end = self.at.checked_add(count).filter(|end| *end <= self.body.len()).ok_or(short)?;
-        let bytes = &self.body[self.at..end];
-        self.at = end;
+        let truncated = WireError::Truncated { at: self.position, field };
+        let end = self.position.checked_add(count).filter(|end| *end <= self.body.len()).ok_or(truncated)?;
+        let bytes = &self.body[self.position..end];
+        self.position = end;
         Ok(bytes)
     }
 
@@ -163,190 +162,191 @@
         self.array(field).map(f32::from_be_bytes)
     }
 
-    fn report(&mut self) -> Result<Vec<f32>, WireError> {
+    fn load_report(&mut self) -> Result<Vec<f32>, WireError> {
         let count = self.u8("Report count")?;
         (0..count).map(|_| self.f32("Report")).collect()
     }
 
-    fn entry(&mut self) -> Result<Entry, WireError> {
-        Ok(Entry {
+    fn entry(&mut self) -> Result<EndpointEntry, WireError> {
+        Ok(EndpointEntry {
             endpoint: self.u32("entry Endpoint")?,
             zone: self.u8("entry Zone")?,
             kind: self.u16("entry ClassOfHost")?,
-            cell: self.u16("entry Cell")?,
-            mode: self.u8("entry Mode")?,
+            destination: self.u16("entry Cell")?,
+            state: self.u8("entry Mode")?,
             weight: self.f32("entry Weight")?,
-            up_since: self.u64("entry UpSince")?,
+            started_at: self.u64("entry UpSince")?,
         })
     }
 
     fn record(&mut self, index: u32) -> Result<Record, WireError> {
-        let at = self.at;
+        let at = self.position;
         let code = self.u8("record code")?;
         if code == 110 {
-            let slot = self.u16("Slot")?;
+            let list = self.u16("Slot")?;
             let count = self.u32("NodesList count")?;
-            // Allocated entry by entry: a count that is too high ends in an error, not in an allocation.
+            // Grows entry by entry: a count that exceeds the frame causes an error, not a huge allocation.
             let entries = (0..count).map(|_| self.entry()).collect::<Result<_, _>>()?;
-            return Ok(Record::Sheet { slot, entries });
+            return Ok(Record::EndpointList { list, entries });
         }
         if !matches!(code, 10 | 20 | 30 | 40 | 50 | 60 | 70 | 80 | 90 | 100) {
-            return Err(WireError::Code { at, index, code });
+            return Err(WireError::UnknownRecordCode { at, index, code });
         }
-        let who = self.u16("Who")?;
-        self.instance_record(code, who)
+        let instance = self.u16("Who")?;
+        self.instance_record(code, instance)
     }
 
-    fn new_instance(&mut self, who: u16) -> Result<Record, WireError> {
-        let nonce = self.u64("Nonce64")?;
+    fn new_instance(&mut self, instance: u16) -> Result<Record, WireError> {
+        let seed = self.u64("Nonce64")?;
         let count = self.u32("Config count")? as usize;
-        let at = self.at;
+        let at = self.position;
         let text = self.take(count, "Config")?;
-        let config = std::str::from_utf8(text).map_err(|_| WireError::Text { at })?.to_owned();
-        Ok(Record::NewInstance { who, nonce, config })
+        let settings = std::str::from_utf8(text).map_err(|_| WireError::InvalidUtf8 { at })?.to_owned();
+        Ok(Record::NewInstance { instance, seed, settings })
     }
 
-    /// Reads the rest of a record for an instance; its code is a known one.
-    fn instance_record(&mut self, code: u8, who: u16) -> Result<Record, WireError> {
+    /// Decodes a record after its code and instance. The caller has checked that the code is known.
+    fn instance_record(&mut self, code: u8, instance: u16) -> Result<Record, WireError> {
         Ok(match code {
-            10 => self.new_instance(who)?,
-            20 => Record::Members {
-                who,
-                slot: self.u16("Slot")?,
+            10 => self.new_instance(instance)?,
+            20 => Record::EndpointsUpdated {
+                instance,
+                list: self.u16("Slot")?,
                 generation: self.u32("Generation")?,
-                kind: self.u8("Kind")?,
+                update_kind: self.u8("Kind")?,
             },
-            30 => Record::Accept {
-                who,
-                call: self.u32("Call")?,
-                profile: self.u8("Profile")?,
-                dest: self.f32("Dest")?,
-                key: self.u64("Key")?,
+            30 => Record::Submitted {
+                instance,
+                message: self.u32("Call")?,
+                class: self.u8("Profile")?,
+                destination: self.f32("Dest")?,
+                order_key: self.u64("Key")?,
                 deadline: self.u64("ClientDeadline")?,
-                hint: self.u64("WeightHint")?,
-                opts: self.u8("Opts")?,
-                owner: self.u32("Owner")?,
+                weight_hint: self.u64("WeightHint")?,
+                options: self.u8("Opts")?,
+                tenant: self.u32("Owner")?,
             },
             40 => Record::FirstByte {
-                who,
-                call: self.u32("Call")?,
+                instance,
+                message: self.u32("Call")?,
                 endpoint: self.u32("Endpoint")?,
-                trial: self.u16("Trial")?,
-                delay: self.u64("DelaySeen")?,
+                attempt: self.u16("Trial")?,
+                latency: self.u64("DelaySeen")?,
             },
-            50 => Record::Finished(FinishedRecord {
-                who,
-                call: self.u32("Call")?,
-                code: self.u16("Code")?,
-                delay: self.u64("DelaySeen")?,
-                complete: self.u8("Complete")? != 0,
+            50 => Record::AttemptCompleted(AttemptCompletedRecord {
+                instance,
+                message: self.u32("Call")?,
+                outcome_code: self.u16("Code")?,
+                latency: self.u64("DelaySeen")?,
+                message_completed: self.u8("Complete")? != 0,
                 endpoint: self.u32("Endpoint")?,
-                trial: self.u16("Trial")?,
+                attempt: self.u16("Trial")?,
                 detail: self.u32("Detail")?,
-                report: self.report()?,
+                load_report: self.load_report()?,
             }),
-            60 => Record::ClientGone { who, call: self.u32("Call")? },
-            70 => Record::TickDue { who, cookie: self.u64("Cookie")? },
-            80 => Record::ProbeDone {
-                who,
-                code: self.u16("Code")?,
-                delay: self.u64("DelaySeen")?,
+            60 => Record::Cancelled { instance, message: self.u32("Call")? },
+            70 => Record::TimerFired { instance, token: self.u64("Cookie")? },
+            80 => Record::ProbeCompleted {
+                instance,
+                outcome_code: self.u16("Code")?,
+                latency: self.u64("DelaySeen")?,
                 endpoint: self.u32("Endpoint")?,
-                report: self.report()?,
+                load_report: self.load_report()?,
             },
             90 => {
                 let from = self.u32("From")?;
                 let count = usize::from(self.u16("Msg count")?);
-                Record::NoteFrom { who, from, msg: self.take(count, "Msg")?.to_vec() }
+                Record::PeerMessageReceived { instance, from, payload: self.take(count, "Msg")?.to_vec() }
             }
-            _ => Record::Teardown { who },
+            _ => Record::RemoveInstance { instance },
         })
     }
 }
 
-/// Reads the body of a batch (what comes after its length): the clock and the records.
+/// Decodes the body of a batch (the bytes after its length) into the time and the records.
 pub fn read_batch(body: &[u8]) -> Result<(u64, Vec<Record>), WireError> {
-    let mut reader = Reader { body, at: 0 };
+    let mut reader = Reader { body, position: 0 };
     let clock = reader.u64("clock")?;
     let count = reader.u32("record count")?;
     let mut records = Vec::new();
     for index in 0..count {
         records.push(reader.record(index)?);
     }
-    match body.len() - reader.at {
+    match body.len() - reader.position {
         0 => Ok((clock, records)),
-        left => Err(WireError::Left { at: reader.at, left }),
+        left => Err(WireError::TrailingBytes { at: reader.position, left }),
     }
 }
 
-fn put_text(out: &mut Vec<u8>, text: &[u8]) {
-    let count = text.len().min(usize::from(u16::MAX));
+/// Appends the bytes after their count, truncated to the most that the two-byte count can hold.
+fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
+    let count = bytes.len().min(usize::from(u16::MAX));
     out.extend((count as u16).to_be_bytes());
-    out.extend(&text[..count]);
+    out.extend(&bytes[..count]);
 }
 
-/// Appends one record of a reply frame.
+/// Appends a record of a reply frame.
 pub fn write_reply(out: &mut Vec<u8>, reply: &Reply) {
-    let mut head = |code: u8, who: &u16| {
+    let mut write_header = |code: u8, instance: &u16| {
         out.push(code);
-        out.extend(who.to_be_bytes());
+        out.extend(instance.to_be_bytes());
     };
     match reply {
-        Reply::Route { who, call, endpoint, try_for } => {
-            head(10, who);
-            out.extend(call.to_be_bytes());
+        Reply::Send { instance, message, endpoint, timeout } => {
+            write_header(10, instance);
+            out.extend(message.to_be_bytes());
             out.extend(endpoint.to_be_bytes());
-            out.extend(try_for.to_be_bytes());
+            out.extend(timeout.to_be_bytes());
         }
-        Reply::Busy { who, call, stay_away } => {
-            head(20, who);
-            out.extend(call.to_be_bytes());
-            out.extend(stay_away.to_be_bytes());
+        Reply::Reject { instance, message, retry_after } => {
+            write_header(20, instance);
+            out.extend(message.to_be_bytes());
+            out.extend(retry_after.to_be_bytes());
         }
-        Reply::ReportFailure { who, call } => {
-            head(30, who);
-            out.extend(call.to_be_bytes());
+        Reply::Fail { instance, message } => {
+            write_header(30, instance);
+            out.extend(message.to_be_bytes());
         }
-        Reply::StopAttempt { who, call, trial } => {
-            head(40, who);
-            out.extend(call.to_be_bytes());
-            out.extend(trial.to_be_bytes());
+        Reply::AbandonAttempt { instance, message, attempt } => {
+            write_header(40, instance);
+            out.extend(message.to_be_bytes());
+            out.extend(attempt.to_be_bytes());
         }
-        Reply::After { who, after, cookie } => {
-            head(50, who);
+        Reply::SetTimer { instance, after, token } => {
+            write_header(50, instance);
             out.extend(after.to_be_bytes());
-            out.extend(cookie.to_be_bytes());
+            out.extend(token.to_be_bytes());
         }
-        Reply::SoundOut { who, endpoint } => {
-            head(60, who);
+        Reply::Probe { instance, endpoint } => {
+            write_header(60, instance);
             out.extend(endpoint.to_be_bytes());
         }
-        Reply::CloseIdle { who, endpoint } => {
-            head(70, who);
+        Reply::CloseIdle { instance, endpoint } => {
+            write_header(70, instance);
             out.extend(endpoint.to_be_bytes());
         }
-        Reply::Tell { who, peer, msg } => {
-            head(80, who);
-            out.extend(peer.to_be_bytes());
-            put_text(out, msg);
+        Reply::SendPeerMessage { instance, to, payload } => {
+            write_header(80, instance);
+            out.extend(to.to_be_bytes());
+            put_bytes(out, payload);
         }
-        Reply::Log { who, words } => {
-            head(90, who);
-            put_text(out, words.as_bytes());
+        Reply::Log { instance, text } => {
+            write_header(90, instance);
+            put_bytes(out, text.as_bytes());
         }
-        Reply::Panic { who, words } => {
-            head(100, who);
-            put_text(out, words.as_bytes());
+        Reply::Panic { instance, text } => {
+            write_header(100, instance);
+            put_bytes(out, text.as_bytes());
         }
-        Reply::KeepInformed { who, active } => {
-            head(110, who);
+        Reply::SubscribeEndpoints { instance, active } => {
+            write_header(110, instance);
             out.push(u8::from(*active));
         }
-        Reply::Refresh { who } => head(120, who),
+        Reply::RefreshEndpoints { instance } => write_header(120, instance),
     }
 }
 
-/// Encodes a whole reply frame: its length and its records.
+/// Encodes a reply frame: its length and its records.
 pub fn write_frame(replies: &[Reply]) -> Vec<u8> {
     let mut out = vec![0; 4];
     for reply in replies {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,19 +1,19 @@
-//! Events that the delivery policy is told, and the actions that it answers with.
+//! Events that the delivery policy receives, and the actions that it returns.
 
 use super::ids::{ClassId, DestinationId, EndpointId, KindId, MessageId, OrderKey, TenantId, ZoneId};
 use super::time::Time;
 use std::time::Duration;
 
-/// State of an endpoint in the endpoint list. It says nothing of its health.
+/// State of an endpoint in the endpoint list. It does not reflect the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Listed for new requests.
+    /// Accepts new requests.
     Ready,
-    /// Listed for one request at a time: all instances are admitted at this moment.
+    /// Accepts one request at a time from this instance: other instances start to send to it at the same moment.
     OneAtATime,
-    /// Listed for no new requests at the moment; scheduled ones are sent.
+    /// Accepts no new requests for now; requests that are already scheduled are still sent.
     Paused,
-    /// Draining: to be sent nothing new.
+    /// Draining: is sent nothing more.
     Draining,
     /// Removed from the list.
     Removed,
@@ -25,7 +25,7 @@
         matches!(self, EndpointState::Ready | EndpointState::OneAtATime)
     }
 
-    /// Whether requests that are scheduled may still be sent.
+    /// Whether requests that are already scheduled may still be sent.
     pub fn accepts_scheduled_requests(self) -> bool {
         self.accepts_new_requests() || self == EndpointState::Paused
     }
@@ -34,17 +34,17 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its id.
+    /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Its zone.
+    /// The zone that the endpoint is in.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
-    /// Its destination.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its state.
+    /// Which requests the endpoint accepts.
     pub state: EndpointState,
-    /// Its weight; see [`crate::WeightSource`].
+    /// The listed weight; [`crate::WeightSource`] says what it means.
     pub weight: f64,
 }
 
@@ -53,41 +53,41 @@
 pub enum EndpointListUpdate {
     /// New and changed entries only.
     Delta(Vec<Endpoint>),
-    /// The whole list; endpoints that it does not name are removed.
+    /// The complete list; endpoints missing from it are removed.
     Snapshot(Vec<Endpoint>),
-    /// The list could not be read; the last one remains valid.
+    /// The list could not be read; the previous one stays in use.
     Unavailable,
 }
 
-/// A submitted message: the policy owes it exactly one final answer.
+/// A submitted message. It gets exactly one final outcome.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Its id, never used twice.
+    /// Identifies the message; never reused.
     pub id: MessageId,
-    /// Its class.
+    /// The class of the message.
     pub class: ClassId,
-    /// Its destination.
+    /// The destination to deliver the message to.
     pub destination: DestinationId,
-    /// Its order key, if it has one.
+    /// The order key, if the message has one.
     pub key: Option<OrderKey>,
-    /// When it expires.
+    /// When the message expires.
     pub deadline: Time,
-    /// An instance that was lost held it before; a keyed message may have run there.
+    /// The message was held by a gateway instance that was lost; a keyed message may have taken effect through it.
     pub from_lost_instance: bool,
-    /// Marked as resubmitted (see [`crate::Settings::clients_mark_resubmissions`]).
+    /// The client marked the message as resubmitted (see [`crate::Settings::clients_mark_resubmissions`]).
     pub resubmitted: bool,
-    /// Its tenant.
+    /// The tenant whose quota the message counts against.
     pub tenant: TenantId,
 }
 
-/// What an earlier process recorded of a message in its log.
+/// What the log of an earlier process says about a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredAttempts {
-    /// When it was submitted.
+    /// When the message was submitted.
     pub submitted_at: Time,
-    /// Attempts begun.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// When the first attempt was sent that may have run, and in which zone, if that is known.
+    /// When the first attempt that may have taken effect was sent, and to which zone, if known.
     pub may_have_run: Option<(Time, Option<ZoneId>)>,
 }
 
@@ -96,21 +96,21 @@
 pub enum AttemptOutcome {
     /// Delivered.
     Ok,
-    /// Error response; may have run.
+    /// Error response; may have taken effect.
     Error,
-    /// Rejected unprocessed (rate limit, full queue, closed, draining), with its `Retry-After`, if any.
+    /// Rejected without being processed (rate limit, full queue, shut down, draining), with the `Retry-After`, if any.
     Rejected(Option<Duration>),
-    /// No response in time; may have run, or may still run.
+    /// No response in time; may have taken effect, or may still be running.
     Timeout,
-    /// No connection; never ran.
+    /// No connection; had no effect.
     ConnectFailed,
-    /// Connection broken; may have run.
+    /// The connection broke before the response; may have taken effect.
     Reset,
-    /// Abandoned by the policy; may have run.
+    /// Abandoned by the policy; may have taken effect.
     Abandoned,
-    /// Not sent at all (no free slot, message completed, attempts used up).
+    /// Not sent (no free slot, message completed, or no attempts left).
     Unsent,
-    /// Not sent, as [`crate::DeliveryPolicy::may_send_now`] forbade it just before: it counts as no attempt.
+    /// Not sent because [`crate::DeliveryPolicy::may_send_now`] refused it; does not count as an attempt.
     NotStarted,
 }
 
@@ -121,37 +121,37 @@
         !matches!(self, AttemptOutcome::Rejected(_)) && !never.contains(&self)
     }
 
-    /// Whether an attempt with this outcome had no response: it may still be running.
+    /// Whether an attempt with this outcome got no response and may still be running at the endpoint.
     pub(crate) fn may_still_be_running(self) -> bool {
         matches!(self, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Abandoned)
     }
 }
 
-/// The rate limit of a destination, as a response advertised it.
+/// The rate limit of a destination as advertised in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitStatus {
-    /// Part of the limit that remains at the moment, from 0 to 1.
+    /// Fraction of the limit that remains, from 0 to 1.
     pub remaining: f64,
-    /// The limit in requests a second over all gateway instances; zero where there is none.
+    /// The limit in requests per second for all gateway instances together; zero for none.
     pub limit: f64,
 }
 
-/// The completion of an attempt; each attempt sent has exactly one.
+/// The completion of an attempt. Each attempt that is sent has exactly one.
 #[derive(Clone, Debug)]
 pub struct AttemptCompleted {
-    /// The message.
+    /// The message that the attempt was for.
     pub message: MessageId,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// The number of the attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u16,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time from its sending to its completion.
+    /// Time between sending and completion.
     pub latency: Duration,
-    /// The message has its final answer; if not, it is still owed.
+    /// Whether the message has its final outcome; if not, the policy still has to produce it.
     pub message_completed: bool,
-    /// The rate limit that the response advertised.
+    /// The rate limit that the response advertised, if any.
     pub rate_limit: Option<RateLimitStatus>,
 }
 
@@ -162,110 +162,110 @@
     EndpointsUpdated(EndpointListUpdate),
     /// A message was accepted.
     Submitted(Submission),
-    /// An earlier process of this instance has ended. Ahead of what was recovered of it: attempts that nobody knows any
-    /// longer may still run.
+    /// This instance restarted. Sent before the recovered messages: attempts of the earlier process that have left no
+    /// trace may still be running.
     Restarted,
-    /// A message was recovered after a restart; its final answer is still owed. In the order accepted.
+    /// A message without a final outcome was recovered after a restart. Sent in the order of acceptance.
     Recovered(Submission, RecoveredAttempts),
     /// An attempt completed.
     AttemptCompleted(AttemptCompleted),
-    /// The head of a response had a `Retry-After`: known before the response is whole, and if it never is.
+    /// The head of a response had a `Retry-After`. Sent at once: the rest of the response may be late or never arrive.
     RetryAfter {
         /// The endpoint that responded.
         endpoint: EndpointId,
         /// How long to wait from now.
         wait: Duration,
     },
-    /// A message was cancelled; no final answer is owed.
+    /// A message was cancelled; it needs no final outcome any more.
     Cancelled(MessageId),
-    /// The timer of an [`Action::SetTimer`] fired; its token.
+    /// The timer of an [`Action::SetTimer`] with this token fired.
     TimerFired(u64),
-    /// The response to a streamed message began; the attempt now belongs to the client.
+    /// The response to a streamed message began, and is passed on to the client.
     FirstByte(MessageId),
     /// A probe completed.
     ProbeCompleted {
-        /// The endpoint.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: AttemptOutcome,
-        /// Time from its sending to its completion.
+        /// Time between sending and completion.
         latency: Duration,
     },
-    /// A note was received from another gateway instance.
+    /// Another gateway instance sent a message to this one.
     PeerMessageReceived {
-        /// The number of that instance.
+        /// Number of the sender.
         from: u32,
-        /// Its text.
-        text: Vec<u8>,
+        /// Content of the message.
+        payload: Vec<u8>,
     },
 }
 
-/// An action, to be taken in the order given.
+/// An action for the caller. Actions are taken in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to an endpoint. Those of one `next_actions` to one endpoint share a request, as far as
-    /// [`crate::Kind::max_batch`] allows.
+    /// Send a message to an endpoint. Messages that one call of `next_actions` sends to the same endpoint share a
+    /// request, up to [`crate::Kind::max_batch`].
     Send {
-        /// The message.
+        /// The message to send.
         message: MessageId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout: Duration,
     },
-    /// Final answer: rejected; the client may safely submit it again.
+    /// Final outcome: rejected. The client may safely resubmit the message.
     Reject {
-        /// The message.
+        /// The message that is rejected.
         message: MessageId,
-        /// How long the client should wait before it retries; zero for no advice.
+        /// How long the client should wait before it resubmits; zero for no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed; whether it took effect is not known.
+    /// Final outcome: failed. Whether the message took effect is unknown.
     Fail {
-        /// The message.
+        /// The message that failed.
         message: MessageId,
     },
-    /// Abandon an attempt: stop waiting for its response.
+    /// Stop waiting for the response to an attempt.
     AbandonAttempt {
-        /// The message.
+        /// The message that the attempt is for.
         message: MessageId,
-        /// The number of the attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Arm a timer: send [`Event::TimerFired`] with this token after this time.
+    /// Set a timer: send [`Event::TimerFired`] with this token after this time.
     SetTimer {
         /// Time from now.
         after: Duration,
-        /// Token of the event.
+        /// Identifies the timer in the event.
         token: u64,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         endpoint: EndpointId,
     },
-    /// Probe an endpoint. It counts as a request there.
+    /// Probe an endpoint. A probe counts as a request to it.
     Probe {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
-    /// Send a note of at most 256 bytes to one gateway instance, or to all.
+    /// Send a message of at most 256 bytes to one gateway instance, or to all.
     SendPeerMessage {
-        /// The number of the instance; none for all.
+        /// Number of the receiver; `None` for all instances.
         to: Option<u16>,
-        /// Its text.
-        text: Vec<u8>,
+        /// Content of the message.
+        payload: Vec<u8>,
     },
-    /// Write a line to the log.
+    /// Write a log line.
     Log {
-        /// Its text.
+        /// Text of the line.
         text: String,
     },
     /// Subscribe to updates of the endpoint list, or unsubscribe.
     SubscribeEndpoints {
-        /// Whether to subscribe.
+        /// True to subscribe, false to unsubscribe.
         active: bool,
     },
-    /// Request the whole endpoint list once.
+    /// Request the complete endpoint list once.
     RefreshEndpoints,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,5 +1,6 @@
-//! Identifiers of messages, endpoints, destinations and settings.
+//! Identifiers of messages, endpoints, destinations and entries of the settings.
 
+/// Defines identifier types that wrap an integer.
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
@@ -9,11 +10,11 @@
 }
 
 ids! {
-    /// A message, unique for the life of a gateway instance. It is also its idempotency key.
+    /// Identifies a message, uniquely for the life of a gateway instance. It is also the idempotency key.
     MessageId(u32);
-    /// An endpoint: one address of a destination.
+    /// Identifies an endpoint: an address of a destination.
     EndpointId(u32);
-    /// A destination: a partner's system that messages are sent to.
+    /// Identifies a destination: a partner's system that messages are sent to.
     DestinationId(u16);
     /// Index into [`crate::Settings::classes`].
     ClassId(u8);
@@ -21,7 +22,7 @@
     TenantId(u32);
     /// Index into [`crate::Settings::kinds`].
     KindId(u16);
-    /// A zone: a location.
+    /// Identifies a zone: a location of gateway instances and endpoints.
     ZoneId(u8);
     /// An order key: messages of an ordered class with the same key are delivered one at a time, in order.
     OrderKey(u64);
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,4 +1,5 @@
-//! The interface of the delivery policy: time and ids, settings, events and actions. Types only.
+//! Types of the delivery policy's interface: time, identifiers, settings, events and actions. The decisions are in
+//! `policy`.
 
 mod events;
 mod ids;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -3,44 +3,45 @@
 use super::ids::ZoneId;
 use std::time::Duration;
 
-/// What it does when a message that may have taken effect is sent again.
+/// What happens when a message that may have taken effect is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Repeats do no harm.
     Safe,
-    /// Repeats under the same idempotency key are dropped, inside a group of endpoints and for a time.
+    /// Endpoints of one group drop repeats with the same idempotency key for a limited time.
     Keyed,
-    /// A repeat takes effect again: such a message is never sent again once it may have run.
+    /// A repeat takes effect again. Such a message is not sent again once an attempt may have taken effect.
     Unsafe,
 }
 
-/// Which endpoints of a destination drop repeats of one key.
+/// Which endpoints of a destination drop each other's repeats of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All endpoints of the destination.
     All,
-    /// Those of the zone that the first attempt was sent to.
+    /// The endpoints in the zone that the first attempt was sent to.
     Zone,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A message delivered within this time after its submission has its full value.
+    /// A message that is delivered within this time after its submission has its full value.
     pub latency_objective: Duration,
-    /// A message may be delivered until this time after its submission.
+    /// Time after its submission until which a message may be delivered.
     pub deadline: Duration,
-    /// What a repeat does.
+    /// What happens when a message is sent again.
     pub effect: Effect,
-    /// Keyed classes: the endpoints that drop repeats.
+    /// For keyed classes: the endpoints that drop each other's repeats.
     pub group: Group,
-    /// Keyed classes: repeats are dropped until this long after the first attempt that may have run was sent.
+    /// For keyed classes: how long repeats are dropped, counted from the sending of the first attempt that may have
+    /// taken effect.
     pub retry_window: Duration,
-    /// Messages with the same order key are delivered one at a time, in the order submitted.
+    /// Messages with the same order key are delivered one at a time, in the order of submission.
     pub ordered: bool,
-    /// Value of a message delivered on time, relative to other classes.
+    /// Value of a message that is delivered on time, relative to other classes.
     pub priority_weight: f64,
-    /// Part of the value that is left at the deadline, from 0 to 1.
+    /// Fraction of the value that is left at the deadline, from 0 to 1.
     pub late_value_ratio: f64,
 }
 
@@ -59,110 +60,113 @@
     }
 }
 
-/// A client with a quota of the service.
+/// A tenant: a client with a quota of its own.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Messages a second over all gateway instances; messages beyond have a lower value.
+    /// Messages per second for all gateway instances together. Messages over the quota have a lower value
+    /// ([`Settings::over_quota_weight`]).
     pub quota: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Most messages that one request may carry.
+    /// Maximum number of messages in a request.
     pub max_batch: usize,
-    /// Rate limits and outages are those of an endpoint, not of its whole destination.
+    /// Each endpoint has its own rate limit and outages; otherwise the destination's endpoints share them.
     pub per_endpoint_limits: bool,
 }
 
-/// Meaning of the weights in the endpoint list.
+/// What the weights in the endpoint list mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// None.
+    /// Nothing: the list advertises no rate limits.
     Ignored,
-    /// The limit of the destination: requests a second from all gateway instances together.
+    /// The rate limit of the destination in requests per second, for all gateway instances together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// Like [`WeightSource::Nominal`], but up to half too high or too low.
     Approximate,
 }
 
-/// How updates of the endpoint list are received.
+/// How an instance gets updates of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Without a subscription.
+    /// Updates arrive without a subscription.
     Push,
-    /// Only by subscribers ([`crate::Action::SubscribeEndpoints`], [`crate::Action::RefreshEndpoints`]).
+    /// Updates arrive only on request ([`crate::Action::SubscribeEndpoints`], [`crate::Action::RefreshEndpoints`]).
     Subscribe,
 }
 
 /// How the value of a message decays after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Linearly, down to [`Class::late_value_ratio`] at the deadline.
+    /// Linearly, to [`Class::late_value_ratio`] at the deadline.
     Linear,
-    /// By half with each further latency objective, but not below [`Class::late_value_ratio`].
+    /// By half for each further latency objective that passes, but not below [`Class::late_value_ratio`].
     Halving,
 }
 
-/// Guarantees and limits of the environment.
+/// Guarantees that clients, destinations and discovery give, and limits that they set.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// A final answer is accepted until this long after the deadline.
+    /// Time after a message's deadline until which its final outcome is accepted.
     pub outcome_grace: Duration,
-    /// Part of its capacity that a destination has at least right after an outage, from 0 to 1.
+    /// Minimum capacity of a destination right after an outage, as a fraction of its full capacity.
     pub warm_up_capacity: f64,
-    /// It is warmed up after this time at the latest.
+    /// Maximum time that a destination needs after an outage to reach its full capacity.
     pub warm_up_time: Duration,
-    /// A destination that is warming up collapses when it is sent this multiple of its present capacity ...
+    /// A destination that is warming up collapses when it receives this multiple of its current capacity for the
+    /// length of [`Rules::overload_window`].
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// See [`Rules::overload_multiple`].
     pub overload_window: Duration,
-    /// Cooldown of an order key after an attempt that may still be running.
+    /// How long an order key is not used after an attempt that may still be running.
     pub key_cooldown: Duration,
-    /// With [`Discovery::Subscribe`]: an instance not subscribed for this long counts as informed of the list.
+    /// With [`Discovery::Subscribe`]: an instance that has not subscribed for this long is assumed to know the endpoint
+    /// list.
     pub discovery_interval: Duration,
 }
 
 /// Settings of a gateway instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Gateway instances that share the destinations, this one included.
+    /// Number of gateway instances that share the destinations, including this one.
     pub instance_count: u32,
     /// The zone of this instance.
     pub zone: ZoneId,
-    /// Classes of message.
+    /// Classes of messages.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Kinds of destination.
     pub kinds: Vec<Kind>,
-    /// Meaning of the weights in the endpoint list.
+    /// What the weights in the endpoint list mean.
     pub weights: WeightSource,
-    /// How updates of the endpoint list are received.
+    /// How this instance gets updates of the endpoint list.
     pub discovery: Discovery,
-    /// How the value of a message decays.
+    /// How the value of a message decays after its latency objective.
     pub decay: Decay,
-    /// Clients mark resubmitted messages.
+    /// Whether clients mark resubmitted messages.
     pub clients_mark_resubmissions: bool,
-    /// Longest time that clients wait when told to retry later; none where they cannot be told.
+    /// Maximum `Retry-After` that clients honour; `None` if clients cannot be told to wait.
     pub max_retry_after: Option<Duration>,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub concurrency_limit: usize,
-    /// Most messages held; further ones are rejected before they reach the policy.
+    /// Maximum number of pending messages. The gateway rejects further ones before they reach the policy.
     pub max_queued: usize,
-    /// Most attempts for one message.
+    /// Maximum number of attempts per message.
     pub max_attempts: u32,
-    /// [`crate::Action::AbandonAttempt`] is permitted.
+    /// Whether the policy may use [`crate::Action::AbandonAttempt`].
     pub can_abandon: bool,
-    /// A message may have two attempts in flight at once.
+    /// Whether a message may have two attempts in flight at once.
     pub allows_hedging: bool,
-    /// Value of a message over its tenant's quota, as a part of the value of its class.
+    /// Value of a message over its tenant's quota, as a fraction of the value of its class.
     pub over_quota_weight: f64,
-    /// Time-out of connecting.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Idle connections are closed after this time.
+    /// Time after which an idle connection is closed.
     pub connection_idle_timeout: Duration,
-    /// Guarantees and limits of the environment.
+    /// Guarantees and limits of the gateway's environment.
     pub rules: Rules,
 }
 
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -1,9 +1,9 @@
-//! Time on the caller's clock.
+//! Time on a clock that the caller supplies.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the caller's clock, in nanoseconds since any fixed start. It never goes backwards.
+/// A point in time on the caller's monotonic clock, in nanoseconds since an arbitrary fixed start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
@@ -14,15 +14,15 @@
 
 impl Add<Duration> for Time {
     type Output = Time;
-    /// Saturates at the end of the clock.
-    fn add(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
+    /// Saturates at the largest `Time`.
+    fn add(self, duration: Duration) -> Time {
+        Time(self.0.saturating_add(u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)))
     }
 }
 
 impl Sub for Time {
     type Output = Duration;
-    /// Time since `earlier`; zero if that is later.
+    /// Time since `earlier`, or zero if `earlier` is later than `self`.
     fn sub(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
@@ -31,7 +31,7 @@
 impl Sub<Duration> for Time {
     type Output = Time;
     /// Saturates at zero.
-    fn sub(self, span: Duration) -> Time {
-        Time(self.0.saturating_sub(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
+    fn sub(self, duration: Duration) -> Time {
+        Time(self.0.saturating_sub(u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,17 @@
 //! The delivery policy of an outbound gateway: which message to send to which endpoint of a partner, and when.
 //!
-//! [`DeliveryPolicy`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It opens no
-//! socket, reads no clock and shares nothing: its randomness comes from the seed, its time from the caller.
+//! [`DeliveryPolicy`] receives events ([`Event`]) and returns actions ([`Action`]). It performs no I/O, reads no clock
+//! and shares no state: randomness comes from a seed, the time from the caller.
 //! Call [`DeliveryPolicy::on_event`] for every event, then [`DeliveryPolicy::next_actions`] once.
 //!
-//! The ordinary path: a message waits in the queue of its destination; a free request slot goes to the waiting
-//! destination with the fewest requests in flight; a message whose attempt may have run is retried under its one
-//! key, inside group, window and attempt limit, after an exponential backoff with full jitter. All else (rate
-//! limiting, outages and probes, slow start, idle connections, load shedding) guards that path.
+//! A message waits in the queue of its destination. A free request slot goes to the destination with queued messages
+//! that has the fewest requests in flight. A message whose attempt may have taken effect is retried under the same
+//! idempotency key, within its group, retry window and attempt limit, after an exponential backoff with full jitter.
+//! Rate limiting, outages and probes, slow start, the handling of idle connections and load shedding protect this
+//! normal path.
 //!
-//! `policy` holds every decision, `policy_state` what it keeps in memory. The files of `policy` build on each
-//! other in this order: `retry`, `rate_limiting`, `idle_connections`, `health`, `concurrency`, `priority`,
+//! `policy` makes the decisions, `policy_state` holds the state that they are based on. The modules of `policy` build
+//! on each other in this order: `retry`, `rate_limiting`, `idle_connections`, `health`, `concurrency`, `priority`,
 //! `selection`, `dispatch`, `completion`, `admission`, `discovery`, and the entry points in `mod`.
 //!
 //! ```
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -10,7 +10,7 @@
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use wire::{read_batch, write_frame, write_reply, Entry, Record, Reply, WireError};
+use wire::{read_batch, write_frame, write_reply, EndpointEntry, Record, Reply, WireError};
 
 /// Decodes hexadecimal digits; other characters are skipped.
 fn hex(text: &str) -> Vec<u8> {
@@ -56,19 +56,19 @@
     assert_eq!(body.len(), 0x47);
     let (clock, records) = read_batch(&body).unwrap();
     assert_eq!(clock, 0x1_f568_bf90);
-    let accept = Record::Accept {
-        who: 3,
-        call: 0x5d3a_91c4,
-        profile: 0,
-        dest: 57.0,
-        key: 0x91f0_3b7c_55d2_0a64,
+    let accept = Record::Submitted {
+        instance: 3,
+        message: 0x5d3a_91c4,
+        class: 0,
+        destination: 57.0,
+        order_key: 0x91f0_3b7c_55d2_0a64,
         deadline: 0x2_03b6_db90,
-        hint: 12_000_000,
-        opts: 1,
-        owner: 0,
+        weight_hint: 12_000_000,
+        options: 1,
+        tenant: 0,
     };
-    let timer = Record::TickDue { who: 3, cookie: 77 };
-    assert_eq!(records, [accept, timer, Record::ClientGone { who: 5, call: 0x0e6f_2b19 }]);
+    let timer = Record::TimerFired { instance: 3, token: 77 };
+    assert_eq!(records, [accept, timer, Record::Cancelled { instance: 5, message: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -80,31 +80,34 @@
         14 0003 0000 00000029 02
         32 0003 5d3a91c4 0064 00000000011a49a0 01 03124a07 0000 00000000 02 3ecccccd3fa00000");
     let (_, records) = read_batch(&body).unwrap();
-    let entry = |endpoint, weight, up_since| Entry {
+    let entry = |endpoint, weight, started_at| EndpointEntry {
         endpoint,
         zone: 0,
         kind: 0,
-        cell: 57,
-        mode: 3,
+        destination: 57,
+        state: 3,
         weight,
-        up_since,
+        started_at,
     };
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
-    assert_eq!(records[0], Record::Sheet { slot: 0, entries });
-    assert_eq!(records[1], Record::Members { who: 3, slot: 0, generation: 41, kind: 2 });
-    let Record::Finished(finished) = &records[2] else { panic!("{records:?}") };
-    assert_eq!((finished.code, finished.delay, finished.complete), (100, 18_500_000, true));
-    assert_eq!(finished.report, [0.4, 1.25]);
+    assert_eq!(records[0], Record::EndpointList { list: 0, entries });
+    assert_eq!(records[1], Record::EndpointsUpdated { instance: 3, list: 0, generation: 41, update_kind: 2 });
+    let Record::AttemptCompleted(finished) = &records[2] else { panic!("{records:?}") };
+    assert_eq!(
+        (finished.outcome_code, finished.latency, finished.message_completed),
+        (100, 18_500_000, true)
+    );
+    assert_eq!(finished.load_report, [0.4, 1.25]);
 }
 
 #[test]
 fn documented_actions_are_encoded() {
-    let words = "two servers known".to_owned();
+    let text = "two servers known".to_owned();
     let replies = [
-        Reply::Route { who: 3, call: 0x5d3a_91c4, endpoint: 0x0312_4a07, try_for: 80_000_000 },
-        Reply::After { who: 3, after: 500_000_000, cookie: 77 },
-        Reply::Log { who: 5, words },
-        Reply::Tell { who: 3, peer: 0xffff, msg: b"hi 7".to_vec() },
+        Reply::Send { instance: 3, message: 0x5d3a_91c4, endpoint: 0x0312_4a07, timeout: 80_000_000 },
+        Reply::SetTimer { instance: 3, after: 500_000_000, token: 77 },
+        Reply::Log { instance: 5, text },
+        Reply::SendPeerMessage { instance: 3, to: 0xffff, payload: b"hi 7".to_vec() },
     ];
     let expected = hex("00000047
         0a 0003 5d3a91c4 03124a07 0000000004c4b400
@@ -117,14 +120,14 @@
 #[test]
 fn other_actions_are_encoded() {
     let cases = [
-        (Reply::Busy { who: 1, call: 2, stay_away: 3 }, "14 0001 00000002 0000000000000003"),
-        (Reply::ReportFailure { who: 1, call: 2 }, "1e 0001 00000002"),
-        (Reply::StopAttempt { who: 1, call: 2, trial: 3 }, "28 0001 00000002 0003"),
-        (Reply::SoundOut { who: 1, endpoint: 2 }, "3c 0001 00000002"),
-        (Reply::CloseIdle { who: 1, endpoint: 2 }, "46 0001 00000002"),
-        (Reply::Panic { who: 1, words: "x".to_owned() }, "64 0001 0001 78"),
-        (Reply::KeepInformed { who: 1, active: true }, "6e 0001 01"),
-        (Reply::Refresh { who: 1 }, "78 0001"),
+        (Reply::Reject { instance: 1, message: 2, retry_after: 3 }, "14 0001 00000002 0000000000000003"),
+        (Reply::Fail { instance: 1, message: 2 }, "1e 0001 00000002"),
+        (Reply::AbandonAttempt { instance: 1, message: 2, attempt: 3 }, "28 0001 00000002 0003"),
+        (Reply::Probe { instance: 1, endpoint: 2 }, "3c 0001 00000002"),
+        (Reply::CloseIdle { instance: 1, endpoint: 2 }, "46 0001 00000002"),
+        (Reply::Panic { instance: 1, text: "x".to_owned() }, "64 0001 0001 78"),
+        (Reply::SubscribeEndpoints { instance: 1, active: true }, "6e 0001 01"),
+        (Reply::RefreshEndpoints { instance: 1 }, "78 0001"),
     ];
     for (reply, bytes) in cases {
         let mut out = Vec::new();
@@ -138,18 +141,27 @@
     let cases = [
         (
             "0a 0001 0000000000000002 00000003 613d62",
-            Record::NewInstance { who: 1, nonce: 2, config: "a=b".into() },
+            Record::NewInstance { instance: 1, seed: 2, settings: "a=b".into() },
         ),
-        ("64 0001", Record::Teardown { who: 1 }),
+        ("64 0001", Record::RemoveInstance { instance: 1 }),
         (
             "50 0001 012f 0000000000000002 00000003 01 3f800000",
-            Record::ProbeDone { who: 1, code: 303, delay: 2, endpoint: 3, report: vec![1.0] },
+            Record::ProbeCompleted {
+                instance: 1,
+                outcome_code: 303,
+                latency: 2,
+                endpoint: 3,
+                load_report: vec![1.0],
+            },
         ),
         (
             "28 0001 00000002 00000003 0004 0000000000000005",
-            Record::FirstByte { who: 1, call: 2, endpoint: 3, trial: 4, delay: 5 },
+            Record::FirstByte { instance: 1, message: 2, endpoint: 3, attempt: 4, latency: 5 },
+        ),
+        (
+            "5a 0001 00000002 0002 6869",
+            Record::PeerMessageReceived { instance: 1, from: 2, payload: b"hi".to_vec() },
         ),
-        ("5a 0001 00000002 0002 6869", Record::NoteFrom { who: 1, from: 2, msg: b"hi".to_vec() }),
     ];
     for (bytes, record) in cases {
         let bytes = hex(bytes);
@@ -158,7 +170,7 @@
         // Every truncation is reported as an error, without a panic.
         for cut in 1..bytes.len() {
             let body = &frame(9, &[bytes[..cut].to_vec()])[4..];
-            assert!(matches!(read_batch(body), Err(WireError::Short { .. })), "{cut}");
+            assert!(matches!(read_batch(body), Err(WireError::Truncated { .. })), "{cut}");
         }
     }
 }
@@ -200,14 +212,31 @@
     // When a later record of a batch reuses the number of an endpoint list, instances that referred to that number
     // before keep the earlier list.
     let endpoint_list = |endpoint| {
-        let entry = Entry { endpoint, zone: 0, kind: 0, cell: 1, mode: 3, weight: 9.0, up_since: 0 };
-        Record::Sheet { slot: 0, entries: vec![entry] }
+        let entry = EndpointEntry {
+            endpoint,
+            zone: 0,
+            kind: 0,
+            destination: 1,
+            state: 3,
+            weight: 9.0,
+            started_at: 0,
+        };
+        Record::EndpointList { list: 0, entries: vec![entry] }
+    };
+    let members = |instance| Record::EndpointsUpdated { instance, list: 0, generation: 1, update_kind: 2 };
+    let start = |instance| Record::NewInstance { instance, seed: 1, settings: config.to_owned() };
+    let (order_key, weight_hint, options, tenant, deadline) = (0, 0, 0, 0, 60_000_000_000);
+    let accept = |instance| Record::Submitted {
+        instance,
+        message: 5,
+        class: 0,
+        destination: 1.0,
+        order_key,
+        deadline,
+        weight_hint,
+        options,
+        tenant,
     };
-    let members = |who| Record::Members { who, slot: 0, generation: 1, kind: 2 };
-    let start = |who| Record::NewInstance { who, nonce: 1, config: config.to_owned() };
-    let (key, hint, opts, owner, deadline) = (0, 0, 0, 0, 60_000_000_000);
-    let accept =
-        |who| Record::Accept { who, call: 5, profile: 0, dest: 1.0, key, deadline, hint, opts, owner };
     let mut host = host::Host::default();
     let batch = vec![
         start(1),
@@ -219,10 +248,10 @@
         accept(1),
         accept(2),
     ];
-    let replies = host.run(50_000_000_000, batch).unwrap();
-    let routed = |who, to| {
+    let replies = host.process_batch(50_000_000_000, batch).unwrap();
+    let routed = |id, to| {
         let matches_route =
-            |r: &&Reply| matches!(r, Reply::Route { who: w, endpoint, .. } if (*w, *endpoint) == (who, to));
+            |r: &&Reply| matches!(r, Reply::Send { instance: i, endpoint: e, .. } if (*i, *e) == (id, to));
         replies.iter().filter(matches_route).count()
     };
     assert_eq!((routed(1, 10), routed(2, 20)), (1, 1));
