--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -104,7 +104,7 @@
     }
 
     /// Gives messages that are due their final outcome. One that is in flight at its deadline may wait for
-    /// its response for half of the answer grace.
+    /// its response for half of the outcome grace.
     pub fn expire_due_messages(&mut self, now: Time) {
         while let Some(id) = self.pop_due_expiry_check(now) {
             let Some(message) = self.messages.get(&id).filter(|message| !message.completed) else { continue };
