--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -18,8 +18,8 @@
 /// How long after its sending a notification goes out again on another connection: an end may be 0.3 s late, and the agent
 /// answers at once.
 const RESEND_DELAY: Duration = Duration::from_millis(200);
-/// Most connections to the agent.
-pub const MAX_CHANNELS: usize = 3;
+/// Maximum number of simultaneous connections to the discovery agent for notifications.
+pub const MAX_AGENT_CONNECTIONS: usize = 3;
 /// How long a connection without a request is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -124,7 +124,7 @@
     /// Nothing pending; the agent is at this address.
     pub fn new(address: SocketAddr) -> Self {
         Notifications {
-            channels: (0..MAX_CHANNELS).map(|_| Channel::new(address)).collect(),
+            channels: (0..MAX_AGENT_CONNECTIONS).map(|_| Channel::new(address)).collect(),
             pending: BTreeMap::new(),
             blocked_keys: HashMap::new(),
             batch_limit: MAX_BATCH,
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -6,7 +6,7 @@
 //! endpoint begins to process a request with its last byte, so what fails before never ran.
 
 use crate::connection_pool::{ActiveRequest, Connection, ConnectionPool, ConnectionState, RequestPhase};
-use crate::response::{AttemptResult, ConnectionReuse, ReportFields, ResponseProgress, ResponseReader};
+use crate::response::{AttemptResult, ConnectionReuse, LoadReportFields, ResponseProgress, ResponseReader};
 use crate::transport::{ConnectionId, Transport};
 use cloverstile::{EndpointId, Time};
 use cloverstile_engine::{Attempt, TransportOutcome};
@@ -32,7 +32,7 @@
     /// Most connections to endpoints at once; a request that would need one more is not sent.
     pub max_connections: usize,
     /// Fields of the load reports in responses.
-    pub report_fields: ReportFields,
+    pub report_fields: LoadReportFields,
 }
 
 /// An attempt that has ended.
@@ -57,7 +57,7 @@
 pub struct Requests {
     pool: ConnectionPool,
     connect_timeout: Duration,
-    report_fields: ReportFields,
+    report_fields: LoadReportFields,
     /// Connections of the attempts without an outcome.
     attempts: HashMap<Attempt, ConnectionId>,
     connected: Vec<Attempt>,
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -26,7 +26,7 @@
 
 /// Names of the fields of a load report that the policy reads; a field without a name is not read.
 #[derive(Clone, Debug, Default)]
-pub struct ReportFields {
+pub struct LoadReportFields {
     /// Share of the limit that remains.
     pub remaining: Option<String>,
     /// The limit, in requests a second.
@@ -101,7 +101,7 @@
     }
 
     /// Reads bytes as they were received; `clock` counts from any fixed start.
-    pub fn on_bytes(&mut self, clock: Duration, bytes: &[u8], fields: &ReportFields) -> ResponseProgress {
+    pub fn on_bytes(&mut self, clock: Duration, bytes: &[u8], fields: &LoadReportFields) -> ResponseProgress {
         self.decoder.feed(clock, bytes);
         let next = self.decoder.next(clock);
         let is_processed = self.decoder.status() == Some(200);
@@ -132,7 +132,7 @@
     }
 
     /// The connection has ended, in order (`clean`) or not; the result, if it was not reported before.
-    pub fn end(&mut self, clean: bool, fields: &ReportFields) -> Option<AttemptResult> {
+    pub fn end(&mut self, clean: bool, fields: &LoadReportFields) -> Option<AttemptResult> {
         let message = self.decoder.on_connection_end().ok().flatten().filter(|_| clean);
         let result =
             message.map_or(TransportOutcome::Reset.into(), |message| attempt_result(&message, fields));
@@ -141,7 +141,7 @@
 }
 
 /// The result of an attempt with a whole response.
-fn attempt_result(message: &Message, fields: &ReportFields) -> AttemptResult {
+fn attempt_result(message: &Message, fields: &LoadReportFields) -> AttemptResult {
     let Start::Response { status } = message.start else { return TransportOutcome::Error.into() };
     let headers = &message.headers;
     let outcome = match status {
@@ -184,7 +184,7 @@
 }
 
 /// The rate limit in a load report, `Srv-Load: NAME=VALUE,...`; none where any of its fields can't be read.
-fn rate_limit(headers: &Headers, names: &ReportFields) -> Option<RateLimitStatus> {
+fn rate_limit(headers: &Headers, names: &LoadReportFields) -> Option<RateLimitStatus> {
     let report = headers.get("srv-load")?;
     let fields: Vec<LoadField> = report.split(',').map(LoadField::parse).collect::<Option<_>>()?;
     // The last one counts of fields with the same name.
--- a/crates/platform/tests/platform/requests.rs
+++ b/crates/platform/tests/platform/requests.rs
@@ -4,7 +4,7 @@
 use cloverstile::{EndpointId, MessageId, Time};
 use cloverstile_engine::{Attempt, TransportOutcome};
 use cloverstile_platform::requests::{ConnectionLimits, Requests, RetryAfter};
-use cloverstile_platform::response::ReportFields;
+use cloverstile_platform::response::LoadReportFields;
 use cloverstile_platform::ConnectionId;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         connect_timeout,
         idle_timeout,
         max_connections,
-        report_fields: ReportFields::default(),
+        report_fields: LoadReportFields::default(),
     })
 }
 
--- a/crates/platform/tests/platform/response.rs
+++ b/crates/platform/tests/platform/response.rs
@@ -2,11 +2,11 @@
 
 use cloverstile::RateLimitStatus;
 use cloverstile_engine::TransportOutcome;
-use cloverstile_platform::response::{AttemptResult, ConnectionReuse, ReportFields, ResponseReader};
+use cloverstile_platform::response::{AttemptResult, ConnectionReuse, LoadReportFields, ResponseReader};
 use std::time::Duration;
 
-fn fields() -> ReportFields {
-    ReportFields { remaining: Some("x0".into()), limit: Some("x1".into()) }
+fn fields() -> LoadReportFields {
+    LoadReportFields { remaining: Some("x0".into()), limit: Some("x1".into()) }
 }
 
 /// What a response in pieces came to.
--- a/crates/resp-gateway/src/descriptor_limits/tests.rs
+++ b/crates/resp-gateway/src/descriptor_limits/tests.rs
@@ -3,7 +3,7 @@
 use super::DescriptorLimits;
 
 /// Standard streams, event loop, signals, listener, log, discovery and connections for notifications.
-const OTHER_DESCRIPTORS: usize = 11 + cloverstile_platform::notifications::MAX_CHANNELS;
+const OTHER_DESCRIPTORS: usize = 11 + cloverstile_platform::notifications::MAX_AGENT_CONNECTIONS;
 
 #[test]
 fn descriptor_limits_fit_into_the_total_and_leave_a_third_for_clients() {
--- a/crates/resp-gateway/src/sockets/tests.rs
+++ b/crates/resp-gateway/src/sockets/tests.rs
@@ -5,7 +5,7 @@
 use cloverstile_engine::{Attempt, TransportOutcome};
 use cloverstile_net::{Net, NetEvent};
 use cloverstile_platform::requests::{CompletedAttempt, ConnectionLimits, Requests, RetryAfter};
-use cloverstile_platform::response::ReportFields;
+use cloverstile_platform::response::LoadReportFields;
 use cloverstile_platform::ConnectionId;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -23,7 +23,7 @@
         connect_timeout: SECOND,
         idle_timeout: SECOND * 9,
         max_connections: 4,
-        report_fields: ReportFields::default(),
+        report_fields: LoadReportFields::default(),
     };
     let (mut requests, now) = (Requests::new(limits), Time::ZERO + SECOND);
     let (attempt, to) = (Attempt { message: MessageId(1), number: 0 }, EndpointId(1));
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -25,7 +25,7 @@
 use cloverstile_platform::endpoint_watch::EndpointWatch;
 use cloverstile_platform::notifications::Notifications;
 use cloverstile_platform::requests::ConnectionLimits;
-use cloverstile_platform::response::ReportFields;
+use cloverstile_platform::response::LoadReportFields;
 use cloverstile_wal::{Record, Recovered};
 use std::io;
 use std::path::Path;
@@ -183,7 +183,7 @@
         connect_timeout: settings.connect_timeout,
         idle_timeout: settings.connection_idle_timeout,
         max_connections: descriptors.endpoints,
-        report_fields: ReportFields {
+        report_fields: LoadReportFields {
             remaining: field_name(config.parsed.remaining_field),
             limit: field_name(config.parsed.limit_field),
         },
