--- a/crates/resp-gateway/src/environment.rs
+++ b/crates/resp-gateway/src/environment.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug)]
 pub struct Environment {
     /// `ROUTER_CONFIG`: path of the configuration, a JSON file.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
     /// `ROUTER_STATE`: path of the directory that outlasts the process.
-    pub state: PathBuf,
+    pub state_directory: PathBuf,
 }
 
 impl Environment {
@@ -23,12 +23,15 @@
             let value = std::env::var_os(name).map(PathBuf::from);
             value.ok_or(GatewayError::MissingVariable { name, expected })
         };
-        let state = path("ROUTER_STATE", "the directory that outlasts the process")?;
-        if !state.is_dir() {
+        let state_directory = path("ROUTER_STATE", "the directory that outlasts the process")?;
+        if !state_directory.is_dir() {
             let problem = "ROUTER_STATE must name an existing directory";
             let error = io::Error::new(io::ErrorKind::NotADirectory, problem);
-            return Err(GatewayError::Read { path: state, error });
+            return Err(GatewayError::Read { path: state_directory, error });
         }
-        Ok(Environment { config: path("ROUTER_CONFIG", "the configuration, a JSON file")?, state })
+        Ok(Environment {
+            config_path: path("ROUTER_CONFIG", "the configuration, a JSON file")?,
+            state_directory,
+        })
     }
 }
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -48,7 +48,7 @@
 /// # Errors
 /// A configuration that is not valid, or an operation of the system that failed.
 pub fn run(environment: &Environment) -> Result<(), GatewayError> {
-    let config = load(&environment.config)?;
+    let config = load(&environment.config_path)?;
     match Gateway::start(config, environment)? {
         Some(gateway) => gateway.run(),
         None => Ok(()),
@@ -68,7 +68,7 @@
         let names = name_table::name_table(&config.names, &settings.classes);
 
         let max_log_bytes = (config.limits.disk_mb * BYTES_PER_MB) as u64;
-        let Some((log, recovered)) = open_log(&environment.state, max_log_bytes, &mut net)? else {
+        let Some((log, recovered)) = open_log(&environment.state_directory, max_log_bytes, &mut net)? else {
             return Ok(None);
         };
         let recovered_messages = recovered.messages.len();
@@ -102,7 +102,7 @@
             .map_err(GatewayError::failed_to(format!("listen on {}", config.listen)))?;
         net.set_half_open(listener);
         info!(name = %config.name, %address, recovered_messages, wall_clock_ahead_ms, "ready");
-        let configuration = ConfigurationFile::new(environment.config.clone());
+        let configuration = ConfigurationFile::new(environment.config_path.clone());
         let run_state = RunState::Serving { listener };
         Ok(Some(Gateway { clock, net, configuration, discovery, pipeline, run_state }))
     }
