--- a/src/bin/cloverstile-sim-adapter/host.rs
+++ b/src/bin/cloverstile-sim-adapter/host.rs
@@ -14,12 +14,12 @@
 const OPTION_RESUBMITTED: u8 = 2;
 const OPTION_FROM_LOST_INSTANCE: u8 = 16;
 
-/// A simulated gateway instance.
+/// The policy of a simulated gateway instance, and where its load reports state the rate limit.
 struct Instance {
     policy: DeliveryPolicy,
-    /// Position in a load report of the part of the rate limit that remains.
+    /// Position in a load report of the fraction of the rate limit that remains, if reports have it.
     remaining_field: Option<usize>,
-    /// Position in a load report of the rate limit.
+    /// Position in a load report of the rate limit, if reports have it.
     limit_field: Option<usize>,
 }
 
@@ -33,9 +33,9 @@
 /// Why a batch cannot be processed.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// The settings of a new instance are invalid; `who` is its number.
-    #[error("instance {who}: {error}")]
-    Setting { who: u16, error: SettingError },
+    /// The settings of a new instance are invalid; `instance` is its number.
+    #[error("instance {instance}: {error}")]
+    Setting { instance: u16, error: SettingError },
     /// A record has a value that is not defined.
     #[error(transparent)]
     Wire(#[from] WireError),
@@ -76,7 +76,7 @@
         Ok(Some(match record {
             Record::NewInstance { instance, seed, settings } => {
                 let ParsedSettings { settings, remaining_field, limit_field } =
-                    parse_settings(&settings).map_err(|error| HostError::Setting { who: instance, error })?;
+                    parse_settings(&settings).map_err(|error| HostError::Setting { instance, error })?;
                 let policy = DeliveryPolicy::new(settings, seed);
                 self.instances.insert(instance, Instance { policy, remaining_field, limit_field });
                 return Ok(None);
@@ -147,7 +147,7 @@
     fn attempt_completed(&self, record: &AttemptCompletedRecord) -> Result<Event, HostError> {
         let instance = self.instances.get(&record.instance);
         let value = |position: Option<usize>| {
-            position.and_then(|position| record.load_report.get(position)).map(|v| f64::from(*v))
+            position.and_then(|position| record.load_report.get(position)).map(|value| f64::from(*value))
         };
         let remaining = value(instance.and_then(|instance| instance.remaining_field));
         let limit = value(instance.and_then(|instance| instance.limit_field));
@@ -166,13 +166,14 @@
 /// Calls a policy; a panic becomes a reply with its text.
 fn catch_panic(instance: u16, replies: &mut Vec<Reply>, call: impl FnOnce()) {
     if let Err(payload) = catch_unwind(AssertUnwindSafe(call)) {
-        let text = payload.downcast_ref::<&str>().map(|s| (*s).to_owned());
+        let text = payload.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let text = text.or_else(|| payload.downcast_ref::<String>().cloned());
         replies
             .push(Reply::Panic { instance, text: text.unwrap_or_else(|| "panic without a text".to_owned()) });
     }
 }
 
+/// Error for a value whose offset in the frame is no longer known once the record is decoded; reports offset 0.
 fn unknown_value(field: &'static str, value: u32) -> HostError {
     HostError::Wire(WireError::UnknownValue { at: 0, field, value })
 }
--- a/src/bin/cloverstile-sim-adapter/wire.rs
+++ b/src/bin/cloverstile-sim-adapter/wire.rs
@@ -18,7 +18,7 @@
     InvalidUtf8 { at: usize },
 }
 
-/// An entry of a numbered endpoint list.
+/// An endpoint of a [`Record::EndpointList`], as the protocol encodes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     pub endpoint: u32,
@@ -70,23 +70,23 @@
         options: u8,
         tenant: u32,
     },
-    /// Removes an instance.
+    /// Removes an instance; later records for it are ignored.
     RemoveInstance { instance: u16 },
-    /// A probe completed.
+    /// The result of a probe that the instance requested with [`Reply::Probe`].
     ProbeCompleted { instance: u16, outcome_code: u16, latency: u64, endpoint: u32, load_report: Vec<f32> },
     /// The client no longer waits for the message's final outcome.
     Cancelled { instance: u16, message: u32 },
     /// The response to a streamed message began.
     FirstByte { instance: u16, message: u32, endpoint: u32, attempt: u16, latency: u64 },
-    /// An attempt completed.
+    /// The result of an attempt that the instance started with [`Reply::Send`].
     AttemptCompleted(AttemptCompletedRecord),
-    /// A timer fired.
+    /// The timer that a [`Reply::SetTimer`] set with this token expired.
     TimerFired { instance: u16, token: u64 },
     /// Another instance sent a message to this one.
     PeerMessageReceived { instance: u16, from: u32, payload: Vec<u8> },
 }
 
-/// The completion of an attempt.
+/// How an attempt ended, and what its response reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptCompletedRecord {
     pub instance: u16,
@@ -121,7 +121,7 @@
     RefreshEndpoints { instance: u16 },
 }
 
-/// Decodes the body of a batch.
+/// Reads the values of a batch's body one after the other.
 struct Reader<'a> {
     body: &'a [u8],
     position: usize,
@@ -285,7 +285,7 @@
     out.extend(&bytes[..count]);
 }
 
-/// Appends a record of a reply frame.
+/// Encodes a reply as a record and appends it to `out`.
 pub fn write_reply(out: &mut Vec<u8>, reply: &Reply) {
     let mut write_header = |code: u8, instance: &u16| {
         out.push(code);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -34,11 +34,11 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Identifies the endpoint.
+    /// A later entry with the same id replaces this one.
     pub id: EndpointId,
-    /// The zone that the endpoint is in.
+    /// The zone that the endpoint is in. Instances prefer endpoints in their own zone.
     pub zone: ZoneId,
-    /// The kind of the destination.
+    /// The kind of the destination: sets the batch size and whether the endpoint has a rate limit of its own.
     pub kind: KindId,
     /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
@@ -64,13 +64,14 @@
 pub struct Submission {
     /// Identifies the message; never reused.
     pub id: MessageId,
-    /// The class of the message.
+    /// The class of the message: sets its latency objective, effect, ordering and priority.
     pub class: ClassId,
     /// The destination to deliver the message to.
     pub destination: DestinationId,
-    /// The order key, if the message has one.
+    /// The order key, if the message has one. Only ordered classes use it.
     pub key: Option<OrderKey>,
-    /// When the message expires.
+    /// The last time at which the message may be sent. Its final outcome follows within
+    /// [`crate::Rules::outcome_grace`].
     pub deadline: Time,
     /// The message was held by a gateway instance that was lost; a keyed message may have taken effect through it.
     pub from_lost_instance: bool,
@@ -83,9 +84,9 @@
 /// What the log of an earlier process says about a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredAttempts {
-    /// When the message was submitted.
+    /// When the client submitted the message. Its value decays from then on, not from the restart.
     pub submitted_at: Time,
-    /// Number of attempts started.
+    /// Number of attempts started. They still count towards [`crate::Settings::max_attempts`].
     pub attempts: u32,
     /// When the first attempt that may have taken effect was sent, and to which zone, if known.
     pub may_have_run: Option<(Time, Option<ZoneId>)>,
@@ -145,7 +146,7 @@
     pub endpoint: EndpointId,
     /// Number of the attempt, from 0.
     pub attempt: u16,
-    /// How the attempt ended.
+    /// How the attempt ended; decides whether the message may be sent again.
     pub outcome: AttemptOutcome,
     /// Time between sending and completion.
     pub latency: Duration,
@@ -158,16 +159,16 @@
 /// An event, for [`crate::DeliveryPolicy::on_event`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list changed.
+    /// The endpoint list changed or could not be read.
     EndpointsUpdated(EndpointListUpdate),
-    /// A message was accepted.
+    /// The gateway accepted a message, which now needs a final outcome.
     Submitted(Submission),
     /// This instance restarted. Sent before the recovered messages: attempts of the earlier process that have left no
     /// trace may still be running.
     Restarted,
     /// A message without a final outcome was recovered after a restart. Sent in the order of acceptance.
     Recovered(Submission, RecoveredAttempts),
-    /// An attempt completed.
+    /// The result of an [`Action::Send`].
     AttemptCompleted(AttemptCompleted),
     /// The head of a response had a `Retry-After`. Sent at once: the rest of the response may be late or never arrive.
     RetryAfter {
@@ -182,7 +183,7 @@
     TimerFired(u64),
     /// The response to a streamed message began, and is passed on to the client.
     FirstByte(MessageId),
-    /// A probe completed.
+    /// The result of an [`Action::Probe`].
     ProbeCompleted {
         /// The endpoint that was probed.
         endpoint: EndpointId,
@@ -193,9 +194,9 @@
     },
     /// Another gateway instance sent a message to this one.
     PeerMessageReceived {
-        /// Number of the sender.
+        /// Number of the gateway instance that sent it.
         from: u32,
-        /// Content of the message.
+        /// The bytes that the other instance passed to [`Action::SendPeerMessage`].
         payload: Vec<u8>,
     },
 }
@@ -206,23 +207,23 @@
     /// Send a message to an endpoint. Messages that one call of `next_actions` sends to the same endpoint share a
     /// request, up to [`crate::Kind::max_batch`].
     Send {
-        /// The message to send.
+        /// A message without a final outcome and without another attempt in flight.
         message: MessageId,
-        /// The endpoint to send it to.
+        /// An endpoint of the message's destination that accepts new requests.
         endpoint: EndpointId,
-        /// Timeout of the attempt.
+        /// Time without a response after which the attempt ends as [`AttemptOutcome::Timeout`].
         timeout: Duration,
     },
     /// Final outcome: rejected. The client may safely resubmit the message.
     Reject {
-        /// The message that is rejected.
+        /// A message that has not taken effect or is safe to repeat.
         message: MessageId,
         /// How long the client should wait before it resubmits; zero for no advice.
         retry_after: Duration,
     },
     /// Final outcome: failed. Whether the message took effect is unknown.
     Fail {
-        /// The message that failed.
+        /// A message with an attempt that is in flight or may have taken effect.
         message: MessageId,
     },
     /// Stop waiting for the response to an attempt.
@@ -236,29 +237,29 @@
     SetTimer {
         /// Time from now.
         after: Duration,
-        /// Identifies the timer in the event.
+        /// Returned in [`Event::TimerFired`], to tell this timer from earlier ones.
         token: u64,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint whose idle connections are closed.
+        /// Connections to this endpoint that carry a request stay open.
         endpoint: EndpointId,
     },
     /// Probe an endpoint. A probe counts as a request to it.
     Probe {
-        /// The endpoint to probe.
+        /// The result is reported as [`Event::ProbeCompleted`] with this endpoint.
         endpoint: EndpointId,
     },
     /// Send a message of at most 256 bytes to one gateway instance, or to all.
     SendPeerMessage {
         /// Number of the receiver; `None` for all instances.
         to: Option<u16>,
-        /// Content of the message.
+        /// Delivered unchanged in [`Event::PeerMessageReceived`].
         payload: Vec<u8>,
     },
-    /// Write a log line.
+    /// Write a line to the gateway's operational log (not the write-ahead log).
     Log {
-        /// Text of the line.
+        /// Free text for operators; the gateway does not evaluate it.
         text: String,
     },
     /// Subscribe to updates of the endpoint list, or unsubscribe.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -6,7 +6,8 @@
 /// What happens when a message that may have taken effect is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// A message that takes effect twice leaves the same result as one that takes effect once, so it may be sent again
+    /// at any time.
     Safe,
     /// Endpoints of one group drop repeats with the same idempotency key for a limited time.
     Keyed,
@@ -23,14 +24,14 @@
     Zone,
 }
 
-/// A class of messages.
+/// Delivery rules of a class of messages: time limits, repeats, order and value.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// A message that is delivered within this time after its submission has its full value.
     pub latency_objective: Duration,
     /// Time after its submission until which a message may be delivered.
     pub deadline: Duration,
-    /// What happens when a message is sent again.
+    /// Whether a message may be sent again after an attempt that may have taken effect.
     pub effect: Effect,
     /// For keyed classes: the endpoints that drop each other's repeats.
     pub group: Group,
@@ -68,7 +69,7 @@
     pub quota: f64,
 }
 
-/// A kind of destination.
+/// Properties that all destinations of a kind share.
 #[derive(Clone, Debug)]
 pub struct Kind {
     /// Maximum number of messages in a request.
@@ -118,7 +119,7 @@
     /// A destination that is warming up collapses when it receives this multiple of its current capacity for the
     /// length of [`Rules::overload_window`].
     pub overload_multiple: f64,
-    /// See [`Rules::overload_multiple`].
+    /// How long the overload of [`Rules::overload_multiple`] must last for the destination to collapse.
     pub overload_window: Duration,
     /// How long an order key is not used after an attempt that may still be running.
     pub key_cooldown: Duration,
@@ -132,13 +133,13 @@
 pub struct Settings {
     /// Number of gateway instances that share the destinations, including this one.
     pub instance_count: u32,
-    /// The zone of this instance.
+    /// The zone of this instance. Endpoints in the same zone are preferred.
     pub zone: ZoneId,
-    /// Classes of messages.
+    /// Classes of messages, indexed by [`crate::ClassId`].
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, indexed by [`crate::TenantId`]. Messages of a tenant that is not listed have no quota.
     pub tenants: Vec<Tenant>,
-    /// Kinds of destination.
+    /// Kinds of destination, indexed by [`crate::KindId`].
     pub kinds: Vec<Kind>,
     /// What the weights in the endpoint list mean.
     pub weights: WeightSource,
@@ -146,7 +147,7 @@
     pub discovery: Discovery,
     /// How the value of a message decays after its latency objective.
     pub decay: Decay,
-    /// Whether clients mark resubmitted messages.
+    /// Whether clients mark resubmitted messages. If they do, an unmarked message is new, however near its deadline is.
     pub clients_mark_resubmissions: bool,
     /// Maximum `Retry-After` that clients honour; `None` if clients cannot be told to wait.
     pub max_retry_after: Option<Duration>,
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -16,7 +16,7 @@
             }
         }
         while self.slots_free() > 0 {
-            let in_flight = |ready: &Candidate| self.requests_in_flight_to(ready.route.destination);
+            let in_flight = |candidate: &Candidate| self.requests_in_flight_to(candidate.route.destination);
             let order = |a: &Candidate, b: &Candidate| {
                 in_flight(a).cmp(&in_flight(b)).then(b.value_rate.total_cmp(&a.value_rate))
             };
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -118,7 +118,7 @@
         // A destination may be warming up after an outage, so a slow start begins unless it was transient;
         // measured from the last success, so that it includes instances that saw only the outage's end.
         let limit = transient_failure_limit(settings);
-        if self.outage.as_ref().is_some_and(|o| o.failure_seen && now - o.started_at > limit) {
+        if self.outage.as_ref().is_some_and(|outage| outage.failure_seen && now - outage.started_at > limit) {
             self.recovering_since = Some(now);
             self.tokens = 0.0;
         }
@@ -168,7 +168,7 @@
     }
 
     /// Schedules the next probe of an outage, with growing, jittered delays and within the recovery budget:
-    /// rejected probes can use up a small rate limit by themselves.
+    /// rejected probes can use up a small rate limit by themselves (incident i2aa64d).
     pub fn schedule_probe(&mut self, now: Time, settings: &Settings, random: f64) {
         // Exponential delays make the probes of low-traffic instances add up to the budget, however begun.
         let jitter = MIN_PROBE_JITTER + random * (1.0 - MIN_PROBE_JITTER);
--- a/src/policy/rate_limiting.rs
+++ b/src/policy/rate_limiting.rs
@@ -71,7 +71,8 @@
     /// Requests per second that this instance may send so that all instances together don't overload a
     /// recovering destination; `progress` of the warm-up runs from 0 to 1. Based on the rate served here
     /// before or the fair share: served rates of all instances add up to the capacity, while their demand can
-    /// be many times the limit of a busy partner. Probes, slow starts and rate cuts share this budget.
+    /// be many times the limit of a busy partner (incident h1c8921). Probes, slow starts and rate cuts share
+    /// this budget.
     pub fn recovery_budget(&mut self, now: Time, settings: &Settings, progress: f64) -> f64 {
         let demand = self.demand.rate(now, warm_up_s(settings), 0.0);
         let max_demand = self.served_rate * MAX_DEMAND_TO_SERVED_RATIO;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -40,7 +40,8 @@
         destination: DestinationId,
         wake: &mut WakeTime,
     ) -> Option<Candidate> {
-        // Separate routes are ranked by their best endpoints, as are the endpoints of one route.
+        // Separate routes are compared by the rank of their best endpoint: working ones first, then the one
+        // with the fewest requests in flight.
         let mut best: Option<Candidate> = None;
         for route in self.route_ids(destination) {
             let available_at = self.route_available_at(now, route);
--- a/src/policy_state/mod.rs
+++ b/src/policy_state/mod.rs
@@ -73,19 +73,19 @@
 }
 
 impl PolicyState {
-    /// The class of a message.
+    /// The class of a message. Its index is valid, as a message of an unknown class is not accepted.
     pub fn class(&self, message: &Message) -> &Class {
         &self.settings.classes[usize::from(message.submission.class.0)]
     }
 
-    /// The route of an endpoint.
+    /// The route of an endpoint: its own if its kind has per-endpoint limits, else that of its destination.
     pub fn route_of(&self, entry: &Endpoint) -> RouteId {
         let kind = self.settings.kinds.get(usize::from(entry.kind.0));
         let separate = kind.is_some_and(|kind| kind.per_endpoint_limits);
         RouteId { destination: entry.destination, endpoint: separate.then_some(entry.id) }
     }
 
-    /// The ids of the routes of a destination.
+    /// The ids of a destination's routes, as a copy: the caller may change the state while it iterates.
     pub fn route_ids(&self, destination: DestinationId) -> Vec<RouteId> {
         self.routes.range(route_range(destination)).map(|(id, _)| *id).collect()
     }
@@ -95,13 +95,13 @@
         self.routes.range(route_range(destination)).count().max(1) as f64
     }
 
-    /// The endpoints of a destination.
+    /// The endpoints of all routes of a destination, including draining and removed ones.
     pub fn endpoints_of(&self, destination: DestinationId) -> impl Iterator<Item = &EndpointRecord> {
         let ids = self.routes.range(route_range(destination)).flat_map(|(_, route)| &route.endpoints);
         ids.filter_map(|endpoint| self.endpoints.get(endpoint))
     }
 
-    /// Number of requests in flight to a destination.
+    /// Number of requests in flight to a destination, over all its routes.
     pub fn requests_in_flight_to(&self, destination: DestinationId) -> usize {
         self.routes.range(route_range(destination)).map(|(_, route)| route.in_flight.len()).sum()
     }
@@ -194,12 +194,12 @@
         }
     }
 
-    /// Number of messages queued for a destination.
+    /// Number of messages for a destination that are not completed, whether they wait or are in flight.
     pub fn queued(&self, destination: DestinationId) -> usize {
         self.queues.get(&destination).map_or(0, Vec::len)
     }
 
-    /// Messages queued for a destination, per route.
+    /// [`PolicyState::queued`], split evenly among the routes of the destination.
     pub fn queued_per_route(&self, destination: DestinationId) -> f64 {
         self.queued(destination) as f64 / self.route_count(destination)
     }
@@ -209,7 +209,7 @@
         self.routes.range(route_range(destination)).any(|(_, route)| route.outage.is_none())
     }
 
-    /// The messages queued for a destination, in the order accepted.
+    /// The messages that [`PolicyState::queued`] counts, in the order accepted.
     pub fn queued_messages(&self, destination: DestinationId) -> impl Iterator<Item = &Message> {
         self.queues.get(&destination).into_iter().flatten().filter_map(|id| self.messages.get(id))
     }
@@ -236,7 +236,7 @@
         self.open_messages += 1;
     }
 
-    /// Schedules an expiry check of a message.
+    /// Adds a time at which to check whether a message must get its final outcome; earlier checks stay.
     pub fn schedule_expiry_check(&mut self, at: Time, message: MessageId) {
         self.expiry_checks.insert(ExpiryCheck { at, message });
     }
--- a/src/policy_state/route.rs
+++ b/src/policy_state/route.rs
@@ -59,7 +59,7 @@
         self.round_robin_position += step * (1 + behind.div_ceil(step.max(1)));
     }
 
-    /// Records a successful request.
+    /// Records a successful request: the endpoint no longer counts as failing, and its connection is open.
     pub fn on_success(&mut self, now: Time) {
         self.connect_failing_since = None;
         self.last_used = Some(now);
@@ -104,7 +104,7 @@
     pub last_rate_cut: Time,
     /// Rate cuts since the last success.
     pub consecutive_cuts: usize,
-    /// Requests sent recently.
+    /// Requests sent, decaying over `RECENT_WINDOW_S`.
     pub sent_recently: DecayingCounter,
     /// Messages accepted, decaying over the warm-up time.
     pub demand: DecayingCounter,
@@ -112,11 +112,11 @@
     pub served: DecayingCounter,
     /// Requests served per second, just before the last success; does not fall during an outage and recovery.
     pub served_rate: f64,
-    /// End of the last `Retry-After`.
+    /// No request is sent before this time: the latest end of any `Retry-After`.
     pub retry_after_until: Time,
     pub latency: LatencyEstimate,
     pub last_success: Time,
-    /// Failure score since the last success.
+    /// Sum of the scores of failures since the last success; opens an outage at `OUTAGE_SCORE`.
     pub failure_score: u32,
     pub outage: Option<Outage>,
     /// Start of the current slow start, if there is one.
--- a/src/settings_parser.rs
+++ b/src/settings_parser.rs
@@ -40,7 +40,7 @@
     pub limit_field: Option<usize>,
 }
 
-/// The values by path.
+/// The unparsed values of a settings text, by path (such as `Lanes.0.Effect`).
 struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> SettingValues<'a> {
--- a/tests/common/shared_destination.rs
+++ b/tests/common/shared_destination.rs
@@ -67,7 +67,7 @@
     timer: Option<(Time, u64)>,
     /// Share of all messages that are submitted to this instance, from 0 to 1.
     traffic_share: f64,
-    /// The policy was given events since its actions were last taken.
+    /// The policy received events since its actions were last taken.
     has_new_events: bool,
     /// An attempt of this instance failed or was rejected during the outage.
     saw_outage: bool,
@@ -174,7 +174,7 @@
             ..endpoint(ENDPOINT.0, 1)
         };
         let shares: Vec<f64> =
-            (0..scenario.instances).map(|n| f64::from(n + 1).powf(-ZIPF_EXPONENT)).collect();
+            (0..scenario.instances).map(|index| f64::from(index + 1).powf(-ZIPF_EXPONENT)).collect();
         let total: f64 = shares.iter().sum();
         let instance = |(number, share): (usize, &f64)| {
             let mut policy = DeliveryPolicy::new(settings.clone(), scenario.seed * 1000 + number as u64);
@@ -263,10 +263,10 @@
         let in_outage = self.in_outage();
         while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= self.now) {
             let PendingOutcome { instance, message, attempt, outcome, sent } = entry.remove();
-            let complete = outcome == AttemptOutcome::Ok;
+            let delivered = outcome == AttemptOutcome::Ok;
             self.delivered_after_outage +=
-                usize::from(complete && self.submitted_after_outage.contains(&message));
-            self.total_delivered += usize::from(complete);
+                usize::from(delivered && self.submitted_after_outage.contains(&message));
+            self.total_delivered += usize::from(delivered);
             let advertised =
                 RateLimitStatus { remaining: self.advertised_remaining.0, limit: self.scenario.capacity };
             let rate_limit = self.has_no_outage().then_some(advertised);
@@ -277,12 +277,12 @@
                 attempt,
                 outcome,
                 latency,
-                message_completed: complete,
+                message_completed: delivered,
                 rate_limit,
             };
             let instance = &mut self.instances[instance];
             instance.policy.on_event(self.now, Event::AttemptCompleted(completed));
-            instance.saw_outage |= in_outage && !complete;
+            instance.saw_outage |= in_outage && !delivered;
             instance.has_new_events = true;
         }
     }
--- a/tests/delivery_policy.rs
+++ b/tests/delivery_policy.rs
@@ -46,8 +46,8 @@
 fn unsafe_message_that_may_have_run_fails_without_retry() {
     for outcome in MAY_HAVE_RUN {
         let mut harness = with_completed_attempt(unsafe_class(), outcome);
-        let end = harness.run_until_action(Duration::from_secs(30));
-        assert_eq!(end, [Action::Fail { message: MessageId(1) }], "{outcome:?}");
+        let actions = harness.run_until_action(Duration::from_secs(30));
+        assert_eq!(actions, [Action::Fail { message: MessageId(1) }], "{outcome:?}");
     }
 }
 
@@ -96,8 +96,8 @@
     let zone = if first == 7 { ZoneId(0) } else { ZoneId(1) };
     let draining = Endpoint { state: EndpointState::Draining, zone, ..endpoint(first, 1) };
     harness.on_event(Event::EndpointsUpdated(EndpointListUpdate::Delta(vec![draining])));
-    let end = harness.run_until_action(Duration::from_secs(30));
-    assert_eq!(end, [Action::Fail { message: MessageId(1) }]);
+    let actions = harness.run_until_action(Duration::from_secs(30));
+    assert_eq!(actions, [Action::Fail { message: MessageId(1) }]);
 }
 
 #[test]
@@ -141,8 +141,8 @@
         resubmitted: true,
         tenant: TenantId(0),
     }));
-    let end = harness.run_until_action(Duration::from_secs(30));
-    assert_eq!(end, [Action::Fail { message: MessageId(1) }]);
+    let actions = harness.run_until_action(Duration::from_secs(30));
+    assert_eq!(actions, [Action::Fail { message: MessageId(1) }]);
 }
 
 #[test]
@@ -177,7 +177,7 @@
 }
 
 /// Each message of a batched request has its own outcome: later outcomes without a `Retry-After` must not clear the one
-/// that an earlier outcome set.
+/// that an earlier outcome set (incident ie8d4eb).
 #[test]
 fn retry_after_is_kept_when_later_outcomes_of_the_batch_have_none() {
     let base = settings(vec![safe_class()]);
@@ -274,24 +274,25 @@
     assert!(sends_after_hang <= 6, "{sends_after_hang} unsafe messages sent to a hung destination");
 }
 
-/// Requests to destinations that hang must not hold all slots: they would block messages for healthy destinations.
+/// Requests to destinations that hang must not hold all slots: they would block messages for healthy destinations
+/// (incident id37437).
 #[test]
 fn hung_destinations_leave_slots_for_healthy_ones() {
-    let all = (1..=5).map(|d| endpoint(u32::from(d), d)).collect();
-    let mut harness = Harness::new(settings(vec![unsafe_class()]), all);
-    let mut healthy = 0;
+    let endpoints = (1..=5).map(|id| endpoint(u32::from(id), id)).collect();
+    let mut harness = Harness::new(settings(vec![unsafe_class()]), endpoints);
+    let mut delivered = 0;
     for id in 0..400 {
         harness.now = harness.now + ms(25);
         harness.submit(id, 0, 1 + (id % 5) as u16, None);
         for Sent { message, endpoint: to, .. } in harness.next_sends() {
             // Only the fifth destination responds.
             if to == 5 {
-                healthy += 1;
+                delivered += 1;
                 harness.complete_attempt(message, to, AttemptOutcome::Ok, ms(5));
             }
         }
     }
-    assert!(healthy >= 70, "{healthy} of 80 delivered at the healthy destination");
+    assert!(delivered >= 70, "{delivered} of 80 delivered at the healthy destination");
 }
 
 #[test]
@@ -331,20 +332,20 @@
 }
 
 /// The attempt time-out must follow high latency: a retry after a time-out that is too short meets a first attempt that
-/// is still running.
+/// is still running (incident i10b789).
 #[test]
 fn attempt_timeout_grows_after_timeouts() {
     let mut harness = single_endpoint(safe_class());
     harness.submit(1, 0, 1, None);
     let first = harness.next_sends()[0].timeout;
-    let mut last = first;
+    let mut latest = first;
     for _ in 0..6 {
-        harness.now = harness.now + last;
-        harness.complete_attempt(1, 7, AttemptOutcome::Timeout, last);
+        harness.now = harness.now + latest;
+        harness.complete_attempt(1, 7, AttemptOutcome::Timeout, latest);
         harness.submit(1000 + harness.now.0 as u32, 0, 1, None);
         match harness.run_until_action(Duration::from_secs(5)).first() {
             Some(Action::Send { message, timeout, .. }) => {
-                last = *timeout;
+                latest = *timeout;
                 if message.0 != 1 {
                     break;
                 }
@@ -352,7 +353,7 @@
             _ => break,
         }
     }
-    assert!(last > first, "{first:?} {last:?}");
+    assert!(latest > first, "{first:?} {latest:?}");
 }
 
 #[test]
@@ -473,8 +474,8 @@
 /// connections have this outcome, those on new connections succeed. Returns how many times idle connections were closed
 /// before use.
 fn idle_closes_with_outcome(outcome: AttemptOutcome, count: u32) -> usize {
-    let all = (1..=count).map(|d| endpoint(d, d as u16)).collect();
-    let mut harness = Harness::new(settings(vec![safe_class()]), all);
+    let endpoints = (1..=count).map(|id| endpoint(id, id as u16)).collect();
+    let mut harness = Harness::new(settings(vec![safe_class()]), endpoints);
     let mut id = 0;
     let mut send = |harness: &mut Harness, to: u32, outcome: AttemptOutcome| {
         id += 1;
@@ -521,7 +522,7 @@
 }
 
 /// A rejection with most of the rate limit remaining has another cause, such as a hung partner with a full queue: the
-/// destination must get fewer requests than after a rejection by its limit.
+/// destination must get fewer requests than after a rejection by its limit (incident h560941).
 #[test]
 fn rejections_with_remaining_limit_count_as_an_outage() {
     let sends_after = |remaining: f64| {
@@ -568,7 +569,7 @@
 }
 
 /// Low-traffic instances that failed to connect at the same time must not all probe every few seconds: their probes add
-/// up at the destination.
+/// up at the destination (incident i88d54c).
 #[test]
 fn low_traffic_instances_rarely_probe_a_destination_in_outage() {
     let mut probes = 0;
@@ -615,7 +616,8 @@
 }
 
 /// Rejected requests use up the limit too: the first attempts and first retries of many instances are enough to keep it
-/// exhausted. After a rejection, an instance that batches messages needs only one request per latency objective.
+/// exhausted. After a rejection, an instance that batches messages needs only one request per latency objective
+/// (incident i4182c2).
 #[test]
 fn rejection_slows_batched_requests_to_one_per_latency_objective() {
     let sends_after_rejection = |batch: usize, seconds: u64| {
@@ -639,8 +641,8 @@
     assert_eq!(sends_after_rejection(20, 3), 1);
 }
 
-/// When a hung partner rejects a burst from many low-traffic instances at the same time, their first retries must not
-/// reach it together during its recovery.
+/// Found in a later run of the `kingston` scenario (fresh-big): a hung partner rejected a burst from many low-traffic
+/// instances at the same time, and their first retries reached it together during its recovery.
 #[test]
 fn low_traffic_instances_rejected_together_retry_at_different_times() {
     let retry_delay = |seed: u64| {
@@ -717,8 +719,8 @@
     assert_eq!(retry_after(Some(ms(500))), ms(500));
 }
 
-/// When messages for partners in an outage fill the queue, they are shed before messages for healthy partners, even if
-/// their priority is higher.
+/// Found in the `sede` scenario: messages for partners in an outage filled the queue, and messages for healthy partners
+/// were rejected. Those for partners in an outage are shed first, even if their priority is higher.
 #[test]
 fn load_shedding_rejects_messages_for_unhealthy_destinations_first() {
     let high_priority = Class { priority_weight: 5.0, ..safe_class() };
--- a/tests/many_instances.rs
+++ b/tests/many_instances.rs
@@ -17,10 +17,10 @@
 
 /// As [`low_traffic_harness`], with the given seed.
 fn low_traffic_harness_with_seed(base: Settings, destinations: u32, seed: u64) -> Harness {
-    let all: Vec<Endpoint> = (1..=destinations).map(|d| endpoint(d, d as u16)).collect();
+    let endpoints: Vec<Endpoint> = (1..=destinations).map(|id| endpoint(id, id as u16)).collect();
     let settings = Settings { instance_count: 300, ..base };
     let mut harness = Harness::new(settings.clone(), vec![]);
-    harness.replace_policy(settings, seed, all);
+    harness.replace_policy(settings, seed, endpoints);
     harness
 }
 
@@ -67,12 +67,12 @@
 fn connection_limit_pressure_closes_idle_connections_after_use() {
     let mut harness = low_traffic_harness(settings(vec![safe_class()]), 20);
     let closed_before: usize = (1..=9)
-        .map(|n| count_closed_connections(&send_and_complete(&mut harness, n, n, AttemptOutcome::Ok)))
+        .map(|id| count_closed_connections(&send_and_complete(&mut harness, id, id, AttemptOutcome::Ok)))
         .sum();
     assert_eq!(closed_before, 0);
     send_and_complete(&mut harness, 10, 10, AttemptOutcome::ConnectFailed);
     let closed_after: usize = (11..=20)
-        .map(|n| count_closed_connections(&send_and_complete(&mut harness, n, n, AttemptOutcome::Ok)))
+        .map(|id| count_closed_connections(&send_and_complete(&mut harness, id, id, AttemptOutcome::Ok)))
         .sum();
     assert_eq!(closed_after, 10);
 }
@@ -152,11 +152,11 @@
 fn instances_prefer_different_routes_and_spread_requests_with_per_endpoint_limits() {
     let kinds = vec![Kind { max_batch: 1, per_endpoint_limits: true }];
     let base = Settings { kinds, ..settings(vec![safe_class()]) };
-    let all = vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)];
+    let endpoints = vec![endpoint(7, 1), endpoint(8, 1), endpoint(9, 1)];
     let mut chosen = BTreeSet::new();
     for seed in 0..30 {
         let mut harness = Harness::new(base.clone(), vec![]);
-        harness.replace_policy(base.clone(), seed, all.clone());
+        harness.replace_policy(base.clone(), seed, endpoints.clone());
         (0..3).for_each(|id| harness.submit(id, 0, 1, None));
         let sent = harness.next_sends();
         chosen.insert(sent[0].endpoint);
--- a/tests/send_permission.rs
+++ b/tests/send_permission.rs
@@ -153,9 +153,9 @@
     }
     harness.run_until_action(Duration::from_secs(3));
     harness.complete_attempt(1, 7, AttemptOutcome::Reset, ms(5));
-    let end = harness.run_until_action(Duration::from_secs(3));
+    let actions = harness.run_until_action(Duration::from_secs(3));
     assert_eq!(
-        end,
+        actions,
         [Action::Fail { message: MessageId(1) }],
         "an unsafe message that may have run is not sent again"
     );
--- a/tests/stalled_requests.rs
+++ b/tests/stalled_requests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn requests_stalled_behind_bulkheads_are_abandoned_while_a_slot_is_free() {
     let settings = Settings { concurrency_limit: 8, ..settings(vec![unsafe_class()]) };
-    let mut harness = Harness::new(settings, (1..=3).map(|d| endpoint(u32::from(d), d)).collect());
+    let mut harness = Harness::new(settings, (1..=3).map(|id| endpoint(u32::from(id), id)).collect());
     let mut id = 0;
     // Message, endpoint, and the send time if the request is never answered. All other requests are answered after
     // one step.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -56,7 +56,7 @@
     assert_eq!(body.len(), 0x47);
     let (clock, records) = read_batch(&body).unwrap();
     assert_eq!(clock, 0x1_f568_bf90);
-    let accept = Record::Submitted {
+    let submitted = Record::Submitted {
         instance: 3,
         message: 0x5d3a_91c4,
         class: 0,
@@ -67,8 +67,8 @@
         options: 1,
         tenant: 0,
     };
-    let timer = Record::TimerFired { instance: 3, token: 77 };
-    assert_eq!(records, [accept, timer, Record::Cancelled { instance: 5, message: 0x0e6f_2b19 }]);
+    let timer_fired = Record::TimerFired { instance: 3, token: 77 };
+    assert_eq!(records, [submitted, timer_fired, Record::Cancelled { instance: 5, message: 0x0e6f_2b19 }]);
 }
 
 #[test]
@@ -92,12 +92,12 @@
     let entries = vec![entry(0x0312_4a07, 1.0, 0), entry(0x2c90_11f2, 1.5, 0x1_6b96_9d00)];
     assert_eq!(records[0], Record::EndpointList { list: 0, entries });
     assert_eq!(records[1], Record::EndpointsUpdated { instance: 3, list: 0, generation: 41, update_kind: 2 });
-    let Record::AttemptCompleted(finished) = &records[2] else { panic!("{records:?}") };
+    let Record::AttemptCompleted(completed) = &records[2] else { panic!("{records:?}") };
     assert_eq!(
-        (finished.outcome_code, finished.latency, finished.message_completed),
+        (completed.outcome_code, completed.latency, completed.message_completed),
         (100, 18_500_000, true)
     );
-    assert_eq!(finished.load_report, [0.4, 1.25]);
+    assert_eq!(completed.load_report, [0.4, 1.25]);
 }
 
 #[test]
@@ -223,10 +223,11 @@
         };
         Record::EndpointList { list: 0, entries: vec![entry] }
     };
-    let members = |instance| Record::EndpointsUpdated { instance, list: 0, generation: 1, update_kind: 2 };
-    let start = |instance| Record::NewInstance { instance, seed: 1, settings: config.to_owned() };
+    let endpoints_updated =
+        |instance| Record::EndpointsUpdated { instance, list: 0, generation: 1, update_kind: 2 };
+    let new_instance = |instance| Record::NewInstance { instance, seed: 1, settings: config.to_owned() };
     let (order_key, weight_hint, options, tenant, deadline) = (0, 0, 0, 0, 60_000_000_000);
-    let accept = |instance| Record::Submitted {
+    let submitted = |instance| Record::Submitted {
         instance,
         message: 5,
         class: 0,
@@ -239,20 +240,22 @@
     };
     let mut host = host::Host::default();
     let batch = vec![
-        start(1),
-        start(2),
+        new_instance(1),
+        new_instance(2),
         endpoint_list(10),
-        members(1),
+        endpoints_updated(1),
         endpoint_list(20),
-        members(2),
-        accept(1),
-        accept(2),
+        endpoints_updated(2),
+        submitted(1),
+        submitted(2),
     ];
     let replies = host.process_batch(50_000_000_000, batch).unwrap();
-    let routed = |id, to| {
-        let matches_route =
-            |r: &&Reply| matches!(r, Reply::Send { instance: i, endpoint: e, .. } if (*i, *e) == (id, to));
+    let count_sends = |from_instance, to_endpoint| {
+        let matches_route = |reply: &&Reply| {
+            matches!(reply, Reply::Send { instance, endpoint, .. }
+                if (*instance, *endpoint) == (from_instance, to_endpoint))
+        };
         replies.iter().filter(matches_route).count()
     };
-    assert_eq!((routed(1, 10), routed(2, 20)), (1, 1));
+    assert_eq!((count_sends(1, 10), count_sends(2, 20)), (1, 1));
 }
