--- a/crates/fakes/src/platform/submission.rs
+++ b/crates/fakes/src/platform/submission.rs
@@ -31,7 +31,7 @@
         let key = format!("{:016x}", self.key);
         let words: [&[u8]; 5] =
             [b"MSG.PUT", key.as_bytes(), self.id.as_bytes(), fields.as_bytes(), &self.body];
-        cloverstile_resp::command(&words)
+        cloverstile_resp::encode_command(&words)
     }
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -83,7 +83,7 @@
     /// The endpoint list as this gateway had it last.
     pub known_endpoints: Option<EndpointListResponse>,
     /// Settings of the policy, and indices of the fields of load reports.
-    pub parsed: ParsedSettings,
+    pub parsed_settings: ParsedSettings,
     /// Names behind the indices in the settings.
     pub names: SettingNames,
 }
@@ -144,7 +144,7 @@
         listen: parse_address("listen", &file.listen)?,
         discovery: parse_address("discovery", &file.discovery)?,
         seed: file.seed.as_deref().map(parse_seed).transpose()?,
-        parsed: parse_settings(&lines)?,
+        parsed_settings: parse_settings(&lines)?,
         names: SettingNames::of(&file.settings),
         name: file.name,
         limits: file.limits,
--- a/crates/platform/tests/platform/client_sessions.rs
+++ b/crates/platform/tests/platform/client_sessions.rs
@@ -4,7 +4,7 @@
 use cloverstile::Time;
 use cloverstile_platform::client_sessions::{ClientSessions, Disconnect, DisconnectReason, ReceivedCommands};
 use cloverstile_platform::ConnectionId;
-use cloverstile_resp::command;
+use cloverstile_resp::encode_command;
 use std::time::Duration;
 
 fn disconnect(connection: u64, reason: DisconnectReason) -> Disconnect {
@@ -25,7 +25,7 @@
 #[test]
 fn idle_slow_and_excess_clients_are_disconnected() {
     let mut sessions = ClientSessions::new(2);
-    let ping = command(&["PING"]);
+    let ping = encode_command(&["PING"]);
     assert_eq!(accept(&mut sessions, at(0), 1), None);
     assert_eq!(sessions.on_bytes(at(1), ConnectionId(1), &ping).commands.len(), 1);
     accept(&mut sessions, at(2), 2);
@@ -59,7 +59,7 @@
 #[test]
 fn new_clients_are_not_evicted_before_idle_clients() {
     let mut sessions = ClientSessions::new(50);
-    let ping = command(&["PING"]);
+    let ping = encode_command(&["PING"]);
     for number in 0..50 {
         sessions.accept(at(number), ConnectionId(number));
         sessions.on_bytes(at(number), ConnectionId(number), &ping);
@@ -83,7 +83,7 @@
     let mut sessions = ClientSessions::new(9);
     sessions.accept(at(0), ConnectionId(1));
     let ReceivedCommands { commands, disconnect, .. } =
-        sessions.on_bytes(at(1), ConnectionId(1), &[command(&["PING"]), b"noise".to_vec()].concat());
+        sessions.on_bytes(at(1), ConnectionId(1), &[encode_command(&["PING"]), b"noise".to_vec()].concat());
     assert!(
         commands.len() == 1
             && matches!(disconnect, Some(DisconnectReason::ProtocolError(_)))
@@ -91,7 +91,7 @@
     );
     sessions.accept(at(0), ConnectionId(2));
     let ReceivedCommands { commands, refused_commands, disconnect } =
-        sessions.on_bytes(at(1), ConnectionId(2), &command(&["PING"]).repeat(500));
+        sessions.on_bytes(at(1), ConnectionId(2), &encode_command(&["PING"]).repeat(500));
     assert!(commands.len() < 500 && disconnect == Some(DisconnectReason::TooManyCommands));
     // The disconnect error answers one command; each refused command gets an error of its own.
     assert_eq!(commands.len() + 1 + refused_commands, 500);
@@ -100,7 +100,7 @@
 /// A client whose command was only partly read gets an error reply before the close, whatever the reason for closing.
 #[test]
 fn client_with_a_partial_command_gets_an_error_reply_on_disconnect() {
-    let ping = command(&["PING"]);
+    let ping = encode_command(&["PING"]);
     let mut sessions = ClientSessions::new(0);
     sessions.accept(at(0), ConnectionId(1));
     sessions.on_bytes(at(1), ConnectionId(1), &ping[..5]);
--- a/crates/resp-gateway/src/client_commands.rs
+++ b/crates/resp-gateway/src/client_commands.rs
@@ -12,7 +12,7 @@
 use cloverstile_platform::client_request::{self, ClientRequest, PutRequest, RequestClasses};
 use cloverstile_platform::client_sessions::{ClientSessions, Disconnect};
 use cloverstile_platform::ConnectionId;
-use cloverstile_resp::{error, simple};
+use cloverstile_resp::{encode_error, encode_simple_string};
 use cloverstile_wal::Record;
 use std::time::Duration;
 use tracing::debug;
@@ -83,7 +83,7 @@
     fn disconnect(&mut self, Disconnect { connection, reason }: &Disconnect) {
         debug!(connection = connection.0, ?reason, clients = self.len(), "client disconnected");
         if let Some(text) = reason.error_text() {
-            self.replies.push(*connection, Reply::Bytes(error(&text)));
+            self.replies.push(*connection, Reply::Bytes(encode_error(&text)));
         }
         self.replies.close_after_replies(*connection);
     }
@@ -113,11 +113,11 @@
         let is_known = |destination| delivery.endpoints.has_destination(destination);
         let classes = RequestClasses { classes: &self.classes, names: &self.class_names };
         match client_request::parse(now, words, classes, is_known) {
-            Ok(ClientRequest::Ping) => Reply::Bytes(simple("PONG")),
+            Ok(ClientRequest::Ping) => Reply::Bytes(encode_simple_string("PONG")),
             Ok(ClientRequest::Put(put)) => self.submit(now, *put, delivery),
             Err(problem) => {
                 debug!(connection = connection.0, %problem, "request rejected");
-                Reply::Bytes(error(&problem.to_string()))
+                Reply::Bytes(encode_error(&problem.to_string()))
             }
         }
     }
@@ -163,11 +163,11 @@
             Admission::New(_)
             | Admission::InFlight(_)
             | Admission::Completed(_, FinalOutcome::Delivered | FinalOutcome::Cancelled) => {
-                Reply::Bytes(simple("OK"))
+                Reply::Bytes(encode_simple_string("OK"))
             }
             Admission::Completed(_, FinalOutcome::Rejected(retry_after)) => Reply::Bytes(busy(retry_after)),
             Admission::Completed(_, FinalOutcome::Failed) => Reply::Bytes(undeliverable()),
-            Admission::Conflict => Reply::Bytes(error("ERR id: in use for another message")),
+            Admission::Conflict => Reply::Bytes(encode_error("ERR id: in use for another message")),
             Admission::Overloaded | Admission::ShuttingDown => Reply::Bytes(busy(Duration::ZERO)),
         }
     }
--- a/crates/resp-gateway/src/client_replies.rs
+++ b/crates/resp-gateway/src/client_replies.rs
@@ -2,21 +2,21 @@
 
 use cloverstile::MessageId;
 use cloverstile_platform::ConnectionId;
-use cloverstile_resp::{error, simple};
+use cloverstile_resp::{encode_error, encode_simple_string};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Reply to a submission that is rejected; it may be submitted again after `retry_after`, at once where that is zero.
 pub fn busy(retry_after: Duration) -> Vec<u8> {
     match retry_after.as_millis() {
-        0 => error("BUSY"),
-        ms => error(&format!("BUSY {ms}")),
+        0 => encode_error("BUSY"),
+        ms => encode_error(&format!("BUSY {ms}")),
     }
 }
 
 /// Reply to a submission whose message can not be delivered.
 pub fn undeliverable() -> Vec<u8> {
-    error("ERR given up: it can't be delivered")
+    encode_error("ERR given up: it can't be delivered")
 }
 
 /// Reply to one command.
@@ -104,7 +104,7 @@
                 Reply::Bytes(bytes) => bytes,
                 Reply::Submission(id) => match submissions.get(&id) {
                     Some(SubmissionResult::Rejected(bytes)) => bytes.clone(),
-                    Some(SubmissionResult::Accepted) | None => simple("OK"),
+                    Some(SubmissionResult::Accepted) | None => encode_simple_string("OK"),
                 },
             };
             EncodedReply { connection, bytes }
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -63,7 +63,7 @@
     pub fn start(config: Config, environment: &Environment) -> Result<Option<Gateway>, GatewayError> {
         let descriptors = DescriptorLimits::new(config.limits.sockets);
         let mut net = open_event_loop(descriptors)?;
-        let mut settings = config.parsed.settings.clone();
+        let mut settings = config.parsed_settings.settings.clone();
         settings.classes.push(name_table::fallback_class(&settings.classes));
         let names = name_table::name_table(&config.names, &settings.classes);
 
@@ -184,8 +184,8 @@
         idle_timeout: settings.connection_idle_timeout,
         max_connections: descriptors.endpoints,
         report_fields: LoadReportFields {
-            remaining: field_name(config.parsed.remaining_field),
-            limit: field_name(config.parsed.limit_field),
+            remaining: field_name(config.parsed_settings.remaining_field),
+            limit: field_name(config.parsed_settings.limit_field),
         },
     }
 }
--- a/crates/resp/src/decode.rs
+++ b/crates/resp/src/decode.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Words in a command.
-    pub max_words: usize,
+    pub max_elements: usize,
     /// Bytes in a word.
-    pub max_word_bytes: usize,
+    pub max_bulk_string_bytes: usize,
     /// Bytes in all words of a command together.
     pub max_command_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { max_words: 16, max_word_bytes: 64 << 10, max_command_bytes: 72 << 10 }
+        Limits { max_elements: 16, max_bulk_string_bytes: 64 << 10, max_command_bytes: 72 << 10 }
     }
 }
 
@@ -110,16 +110,16 @@
 
 impl<'a> Reader<'a> {
     fn command(&mut self, limits: &Limits) -> Result<Option<Command>, RespError> {
-        let Some(count) = self.number(b'*', RespError::ExpectedArray, limits.max_words)? else {
+        let Some(count) = self.number(b'*', RespError::ExpectedArray, limits.max_elements)? else {
             return Ok(None);
         };
         match count {
             0 => return Err(RespError::EmptyCommand),
-            found if found > limits.max_words => {
+            found if found > limits.max_elements => {
                 return Err(RespError::LimitExceeded {
                     what: "a command's words",
                     found,
-                    most: limits.max_words,
+                    most: limits.max_elements,
                 })
             }
             _ => {}
@@ -127,15 +127,16 @@
         let mut words = Vec::with_capacity(count);
         let mut total = 0usize;
         for _ in 0..count {
-            let Some(length) = self.number(b'$', RespError::ExpectedBulkString, limits.max_word_bytes)?
+            let Some(length) =
+                self.number(b'$', RespError::ExpectedBulkString, limits.max_bulk_string_bytes)?
             else {
                 return Ok(None);
             };
-            if length > limits.max_word_bytes {
+            if length > limits.max_bulk_string_bytes {
                 return Err(RespError::LimitExceeded {
                     what: "a word",
                     found: length,
-                    most: limits.max_word_bytes,
+                    most: limits.max_bulk_string_bytes,
                 });
             }
             total += length;
--- a/crates/resp/src/encode.rs
+++ b/crates/resp/src/encode.rs
@@ -1,12 +1,12 @@
 //! Encoding of replies and commands.
 
 /// Encodes a simple string reply, `+TEXT`.
-pub fn simple(text: &str) -> Vec<u8> {
+pub fn encode_simple_string(text: &str) -> Vec<u8> {
     line(b'+', text)
 }
 
 /// Encodes an error reply, `-TEXT`; the first word is the kind of error.
-pub fn error(text: &str) -> Vec<u8> {
+pub fn encode_error(text: &str) -> Vec<u8> {
     line(b'-', text)
 }
 
@@ -19,7 +19,7 @@
 }
 
 /// Encodes a command as a client sends it: an array of bulk strings.
-pub fn command<W: AsRef<[u8]>>(words: &[W]) -> Vec<u8> {
+pub fn encode_command<W: AsRef<[u8]>>(words: &[W]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
         out.extend_from_slice(format!("${}\r\n", word.as_ref().len()).as_bytes());
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -9,4 +9,4 @@
 mod encode;
 
 pub use decode::{Command, Decoder, Limits, RespError};
-pub use encode::{command, error, simple};
+pub use encode::{encode_command, encode_error, encode_simple_string};
--- a/crates/resp/tests/commands.rs
+++ b/crates/resp/tests/commands.rs
@@ -1,9 +1,9 @@
 //! Commands over any split of their bytes, and what is no command.
 
-use cloverstile_resp::{command, error, simple, Decoder, Limits, RespError};
+use cloverstile_resp::{encode_command, encode_error, encode_simple_string, Decoder, Limits, RespError};
 use proptest::prelude::*;
 
-const SMALL: Limits = Limits { max_words: 4, max_word_bytes: 100, max_command_bytes: 150 };
+const SMALL: Limits = Limits { max_elements: 4, max_bulk_string_bytes: 100, max_command_bytes: 150 };
 
 fn all(decoder: &mut Decoder) -> Result<Vec<Vec<Vec<u8>>>, RespError> {
     let mut found = Vec::new();
@@ -20,7 +20,7 @@
         commands in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..37), 1..=4), 1..6),
         cuts in prop::collection::vec(1usize..40, 1..50),
     ) {
-        let bytes: Vec<u8> = commands.iter().flat_map(|words| command(words)).collect();
+        let bytes: Vec<u8> = commands.iter().flat_map(|words| encode_command(words)).collect();
         let mut decoder = Decoder::new(SMALL);
         let (mut found, mut rest, mut cuts) = (Vec::new(), &bytes[..], cuts.iter().cycle());
         while !rest.is_empty() {
@@ -40,7 +40,7 @@
         for byte in noise {
             decoder.feed(&[byte]);
             match all(&mut decoder) {
-                Ok(_) => prop_assert!(decoder.buffered_bytes() <= SMALL.max_command_bytes + 32 * (SMALL.max_words + 1)),
+                Ok(_) => prop_assert!(decoder.buffered_bytes() <= SMALL.max_command_bytes + 32 * (SMALL.max_elements + 1)),
                 Err(_) => break,
             }
         }
@@ -79,6 +79,6 @@
 
 #[test]
 fn replies_are_one_line_for_any_text() {
-    assert_eq!(simple("PONG"), b"+PONG\r\n");
-    assert_eq!(error("ERR two\r\nlines"), b"-ERR two  lines\r\n");
+    assert_eq!(encode_simple_string("PONG"), b"+PONG\r\n");
+    assert_eq!(encode_error("ERR two\r\nlines"), b"-ERR two  lines\r\n");
 }
--- a/crates/testbench/src/fleet/submissions.rs
+++ b/crates/testbench/src/fleet/submissions.rs
@@ -54,7 +54,7 @@
         let fields = format!("c={name},d={remaining}{key},dest={}", message.partner);
         let id = format!("{number:016x}");
         let words: [&[u8]; 5] = [b"MSG.PUT", NO_TRACE, id.as_bytes(), fields.as_bytes(), CONTENT];
-        self.net.send(connection, &cloverstile_resp::command(&words));
+        self.net.send(connection, &cloverstile_resp::encode_command(&words));
     }
 
     /// Bytes of a gateway have come on a client's connection.
--- a/crates/testbench/src/fleet/supervisor.rs
+++ b/crates/testbench/src/fleet/supervisor.rs
@@ -160,7 +160,7 @@
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
     let mut reply = [0; 7];
     stream.set_read_timeout(Some(Duration::from_secs(1))).is_ok()
-        && stream.write_all(&cloverstile_resp::command(&[b"PING"])).is_ok()
+        && stream.write_all(&cloverstile_resp::encode_command(&[b"PING"])).is_ok()
         && stream.read_exact(&mut reply).is_ok()
         && reply == *b"+PONG\r\n"
 }
--- a/crates/testbench/src/soak/client_kinds.rs
+++ b/crates/testbench/src/soak/client_kinds.rs
@@ -177,7 +177,7 @@
 
     /// Rests behind a reply. Where the gateway ends the connection meanwhile, a request crosses that end.
     fn rest_and_submit(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
-        if !client.write(&cloverstile_resp::command(&[b"PING"])) || !client.read_pong() {
+        if !client.write(&cloverstile_resp::encode_command(&[b"PING"])) || !client.read_pong() {
             return None;
         }
         let time = Duration::from_millis(self.rng.random_range(REST_MS));
--- a/crates/testbench/src/soak/gateways.rs
+++ b/crates/testbench/src/soak/gateways.rs
@@ -192,7 +192,7 @@
     fn answers_ping(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.address) else { return false };
         stream.set_read_timeout(Some(Duration::from_millis(500))).is_ok()
-            && stream.write_all(&cloverstile_resp::command(&[b"PING"])).is_ok()
+            && stream.write_all(&cloverstile_resp::encode_command(&[b"PING"])).is_ok()
             && read_line(&mut stream).is_ok_and(|line| line == "+PONG")
     }
 
--- a/crates/testbench/src/soak/restarts.rs
+++ b/crates/testbench/src/soak/restarts.rs
@@ -68,7 +68,7 @@
         self.faults.clear_rule(ACCEPT_PLACE)?;
         for (position, mut stream) in taken.into_iter().enumerate() {
             stream.set_read_timeout(Some(READY_TIMEOUT))?;
-            let is_served = stream.write_all(&cloverstile_resp::command(&[b"PING"])).is_ok()
+            let is_served = stream.write_all(&cloverstile_resp::encode_command(&[b"PING"])).is_ok()
                 && read_line(&mut stream).is_ok();
             if !is_served {
                 let id = format!("connection {position} to gateway {}", self.number);
