--- a/crates/platform/src/connection_pool.rs
+++ b/crates/platform/src/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints: their states, and which of them can carry another request.
+//! The pool of connections to endpoints, with the state of each connection.
 //!
-//! A connection carries one request at a time. After a complete response it is idle and is reused for the same
-//! endpoint, the one used last first.
+//! A connection carries one request at a time. After a complete response it is idle and can be reused for the same
+//! endpoint; the most recently used connection is reused first.
 
 use crate::response::ResponseReader;
 use crate::transport::{ConnectionId, Transport};
@@ -11,88 +11,90 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Share of the endpoint's idle timeout after which an idle connection is closed from our side. Guards against a request
-/// that crosses the endpoint's close: it would end as a reset, which may have run.
-const IDLE_TIMEOUT_SHARE: f64 = 0.7;
+/// Fraction of the endpoint's idle timeout after which the pool closes an idle connection. A request that crosses the
+/// endpoint's own close would end in a reset, which leaves open whether the request was processed.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// How far an attempt's request has come.
+/// Progress of an attempt's request.
 pub(crate) enum RequestPhase {
     /// The connection is being established.
     Connecting {
-        /// When it has failed.
-        until: Time,
+        /// When the attempt to connect fails.
+        timeout_at: Time,
     },
-    /// The connection is established and the request's bytes are awaited.
+    /// The connection is established; no byte of the request has been written.
     Connected,
-    /// All but the last byte is written.
+    /// All but the last byte was written.
     LastByteHeld {
-        /// The last byte.
+        /// The byte that is held.
         last_byte: u8,
         /// When it may be written.
-        until: Time,
+        timeout_at: Time,
     },
-    /// The last byte may be written as soon as the log has the attempt.
+    /// The last byte may be written as soon as the attempt is recorded in the log.
     ReadyToCommit {
-        /// The last byte.
+        /// The byte that is held.
         last_byte: u8,
     },
     /// The whole request was handed to the transport.
     Committed {
-        /// Whether the transport has passed all of it to the operating system.
+        /// Whether the transport has passed the whole request to the operating system.
         flushed: bool,
     },
 }
 
-/// An attempt without an outcome, on its connection.
+/// An attempt that has no outcome yet, and the progress of its request.
 pub(crate) struct ActiveRequest {
     pub attempt: Attempt,
     pub phase: RequestPhase,
-    /// Reused connections that this attempt found closed.
+    /// Number of reused connections that this attempt found closed.
     pub stale_connections: u8,
 }
 
 /// What a connection is used for.
 pub(crate) enum ConnectionState {
-    /// It carries an attempt without an outcome.
+    /// The connection carries an attempt that has no outcome yet.
     Active(ActiveRequest),
-    /// The attempt's outcome is known, the response incomplete.
-    ReadingRest {
-        /// When it is closed.
-        until: Time,
+    /// The attempt's outcome is known, but the response is incomplete.
+    ReadingRemainder {
+        /// When the connection is closed.
+        timeout_at: Time,
     },
-    /// Nobody waits for the attempt any longer and our side is shut down: only a `Retry-After` still counts.
+    /// The attempt was abandoned and the write side is shut down; of the response only a `Retry-After` still counts.
     Abandoned {
-        /// When it is closed.
-        until: Time,
+        /// When the connection is closed.
+        timeout_at: Time,
     },
-    /// It can carry another request.
+    /// The connection can carry another request.
     Idle {
-        /// When it is closed.
-        until: Time,
+        /// When the connection is closed.
+        timeout_at: Time,
     },
 }
 
 impl ConnectionState {
-    /// When the state times out, if it does.
-    fn until(&self) -> Option<Time> {
+    /// When the state times out, if it has a timeout.
+    fn timeout_at(&self) -> Option<Time> {
         match self {
             ConnectionState::Active(request) => match request.phase {
-                RequestPhase::Connecting { until } | RequestPhase::LastByteHeld { until, .. } => Some(until),
+                RequestPhase::Connecting { timeout_at } | RequestPhase::LastByteHeld { timeout_at, .. } => {
+                    Some(timeout_at)
+                }
                 RequestPhase::Connected
                 | RequestPhase::ReadyToCommit { .. }
                 | RequestPhase::Committed { .. } => None,
             },
-            _ => self.evictable_until(),
+            _ => self.eviction_time(),
         }
     }
 
-    /// When a connection without an active attempt would be closed anyway.
-    fn evictable_until(&self) -> Option<Time> {
+    /// When the timeout closes a connection that has no active attempt; none for one that has, which is never evicted.
+    fn eviction_time(&self) -> Option<Time> {
         match self {
             ConnectionState::Active(_) => None,
-            ConnectionState::ReadingRest { until }
-            | ConnectionState::Abandoned { until }
-            | ConnectionState::Idle { until } => Some(*until),
+            ConnectionState::ReadingRemainder { timeout_at }
+            | ConnectionState::Abandoned { timeout_at }
+            | ConnectionState::Idle { timeout_at } => Some(*timeout_at),
         }
     }
 }
@@ -102,14 +104,14 @@
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub state: ConnectionState,
-    /// Reader of the response to the current request.
+    /// Parses the response to the current request.
     pub reader: ResponseReader,
-    /// Whether it was idle before.
+    /// Whether the connection has carried an earlier request.
     pub is_reused: bool,
 }
 
 impl Connection {
-    /// The attempt without an outcome that it carries.
+    /// The attempt that the connection carries, while it has no outcome.
     pub fn active(&mut self) -> Option<&mut ActiveRequest> {
         match &mut self.state {
             ConnectionState::Active(request) => Some(request),
@@ -121,19 +123,20 @@
 /// All connections to endpoints.
 pub(crate) struct ConnectionPool {
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Idle connections by endpoint, the one used last at the end.
+    /// Idle connections by endpoint, the most recently used one last.
     idle: HashMap<EndpointId, Vec<ConnectionId>>,
     idle_timeout: Duration,
     max_connections: usize,
 }
 
 impl ConnectionPool {
-    /// An empty pool of at most `max_connections`, for endpoints that close idle connections after `idle_timeout`.
+    /// Creates an empty pool for at most `max_connections` connections, to endpoints that close idle connections after
+    /// `idle_timeout`.
     pub fn new(idle_timeout: Duration, max_connections: usize) -> Self {
         ConnectionPool { connections: BTreeMap::new(), idle: HashMap::new(), idle_timeout, max_connections }
     }
 
-    /// Connections open or being established.
+    /// Number of connections that are open or being established.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
@@ -155,7 +158,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Takes a connection out without closing it.
+    /// Removes a connection from the pool without closing it.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         if let Some(idle) = self.idle.get_mut(&connection.endpoint) {
@@ -167,14 +170,14 @@
         Some(connection)
     }
 
-    /// Takes a connection out and closes it.
+    /// Removes a connection from the pool and closes it.
     pub fn close(&mut self, id: ConnectionId, transport: &mut impl Transport) {
         self.remove(id);
         transport.close(id);
     }
 
-    /// An idle connection to an endpoint at this address, for another request. Those found to be elsewhere or past their
-    /// time are closed.
+    /// Takes an idle connection to an endpoint at this address for another request. Closes those that it finds at
+    /// another address or past their idle timeout.
     pub fn take_idle(
         &mut self,
         now: Time,
@@ -184,8 +187,9 @@
     ) -> Option<ConnectionId> {
         while let Some(id) = self.idle.get_mut(&endpoint).and_then(Vec::pop) {
             let Some(connection) = self.connections.get(&id) else { continue };
-            // Past its time the endpoint may be closing it at this moment.
-            let is_expired = matches!(connection.state, ConnectionState::Idle { until } if until <= now);
+            // The endpoint may be about to close a connection that is past its idle timeout.
+            let is_expired =
+                matches!(connection.state, ConnectionState::Idle { timeout_at } if timeout_at <= now);
             if !is_expired && connection.address == address {
                 return Some(id);
             }
@@ -194,27 +198,27 @@
         None
     }
 
-    /// Makes a connection available for another request.
+    /// Marks a connection as idle, which makes it available for another request.
     pub fn make_idle(&mut self, now: Time, id: ConnectionId) {
-        let until = now + self.idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE);
+        let timeout_at = now + self.idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.state = ConnectionState::Idle { until };
+            connection.state = ConnectionState::Idle { timeout_at };
             connection.reader = ResponseReader::new();
             connection.is_reused = true;
             self.idle.entry(connection.endpoint).or_default().push(id);
         }
     }
 
-    /// Makes room for one more connection, by closing the one without an active attempt that would be closed first;
-    /// whether there is room.
-    pub fn ensure_room(&mut self, transport: &mut impl Transport) -> bool {
+    /// Ensures that one more connection fits into the pool. If the pool is full, evicts the connection without an
+    /// active attempt that would time out first. Returns whether there is room.
+    pub fn ensure_capacity(&mut self, transport: &mut impl Transport) -> bool {
         if self.connections.len() < self.max_connections {
             return true;
         }
         let evictable = self
             .connections
             .iter()
-            .filter_map(|(id, connection)| Some((connection.state.evictable_until()?, *id)))
+            .filter_map(|(id, connection)| Some((connection.state.eviction_time()?, *id)))
             .min();
         evictable.map(|(_, id)| self.close(id, transport)).is_some()
     }
@@ -227,37 +231,43 @@
         }
     }
 
-    /// Closes connections without an active attempt to endpoints that are not listed at their address any more; not
-    /// abandoned ones, whose `Retry-After` still counts.
+    /// Closes connections without an active attempt to endpoints that are no longer listed at their address.
+    /// Connections of abandoned attempts stay open, as their `Retry-After` still counts.
     pub fn retain_listed(
         &mut self,
         address: impl Fn(EndpointId) -> Option<SocketAddr>,
         transport: &mut impl Transport,
     ) {
-        let is_obsolete = |connection: &Connection| {
+        let is_unlisted = |connection: &Connection| {
             let is_unused = matches!(
                 connection.state,
-                ConnectionState::Idle { .. } | ConnectionState::ReadingRest { .. }
+                ConnectionState::Idle { .. } | ConnectionState::ReadingRemainder { .. }
             );
             is_unused && address(connection.endpoint) != Some(connection.address)
         };
-        let obsolete: Vec<ConnectionId> = self
+        let unlisted: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, connection)| is_obsolete(connection))
+            .filter(|(_, connection)| is_unlisted(connection))
             .map(|(id, _)| *id)
             .collect();
-        obsolete.into_iter().for_each(|id| self.close(id, transport));
+        unlisted.into_iter().for_each(|id| self.close(id, transport));
     }
 
-    /// When the next state of a connection times out.
+    /// The earliest time at which the state of a connection times out.
     pub fn next_timeout(&self) -> Option<Time> {
-        self.connections.values().filter_map(|connection| connection.state.until()).min()
+        self.connections.values().filter_map(|connection| connection.state.timeout_at()).min()
     }
 
     /// Connections whose state has timed out.
     pub fn timed_out(&self, now: Time) -> Vec<ConnectionId> {
-        let is_late = |connection: &Connection| connection.state.until().is_some_and(|until| until <= now);
-        self.connections.iter().filter(|(_, connection)| is_late(connection)).map(|(id, _)| *id).collect()
+        let is_timed_out = |connection: &Connection| {
+            connection.state.timeout_at().is_some_and(|timeout_at| timeout_at <= now)
+        };
+        self.connections
+            .iter()
+            .filter(|(_, connection)| is_timed_out(connection))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the platform that several modules keep.
+//! Limits set by the platform that more than one module enforces.
 
-/// Largest body that the platform carries, in bytes.
+/// Maximum size in bytes of an HTTP body or a message body on the platform.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -1,9 +1,11 @@
-//! Requests to endpoints: from an attempt that the policy decided on to its result.
+//! Requests to endpoints, from an attempt that the policy decided on to its result.
 //!
-//! An attempt takes a connection of the pool, or a new one ([`Requests::connect`]). When it is established
-//! ([`Requests::take_connected`]) all but the last byte is written ([`Requests::send_all_but_last_byte`]). The last byte
-//! follows a moment later ([`Requests::take_ready_to_commit`]), once the log has the attempt ([`Requests::commit`]): an
-//! endpoint begins to process a request with its last byte, so what fails before never ran.
+//! An attempt uses an idle connection of the pool or opens a new one ([`Requests::connect`]). Once the connection is
+//! established ([`Requests::take_connected`]), all but the last byte of the request is written
+//! ([`Requests::send_all_but_last_byte`]). After a short delay the attempt is ready to commit
+//! ([`Requests::take_ready_to_commit`]), and the last byte is written when the attempt is recorded in the log
+//! ([`Requests::commit`]). An endpoint starts to process a request only when it has the last byte, so an attempt that
+//! fails before then was never processed.
 
 use crate::connection_pool::{ActiveRequest, Connection, ConnectionPool, ConnectionState, RequestPhase};
 use crate::response::{AttemptResult, ConnectionReuse, LoadReportFields, ResponseProgress, ResponseReader};
@@ -14,24 +16,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the last byte of a request is held back behind the others. Guards against a connection that was closed
-/// meanwhile: it answers the others with a reset.
+/// Delay between the last byte of a request and the bytes before it. If the endpoint has already closed the connection,
+/// it answers the earlier bytes with a reset, and the delay lets that reset arrive before the request can run.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
-/// Reused connections that one attempt may find closed before it counts as failed.
+/// Maximum number of reused connections that one attempt may find closed before the attempt fails.
 const MAX_STALE_CONNECTIONS: u8 = 2;
-/// How long the rest of a response may take whose outcome is known, and one that nobody waits for any longer.
-const REST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for the remainder of a response whose outcome is already known, and for the response to an abandoned
+/// attempt.
+const REMAINDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the platform allows of connections to endpoints.
+/// Limits on connections to endpoints, and the load report fields to read from responses.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimits {
-    /// Time after which a connection that is not established has failed.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
     /// Time after which the endpoint closes an idle connection.
     pub idle_timeout: Duration,
-    /// Most connections to endpoints at once; a request that would need one more is not sent.
+    /// Maximum number of simultaneous connections to endpoints; a request that would exceed it is not sent.
     pub max_connections: usize,
-    /// Fields of the load reports in responses.
+    /// Names of the load report fields that are read from responses.
     pub report_fields: LoadReportFields,
 }
 
@@ -44,21 +47,21 @@
     pub result: AttemptResult,
 }
 
-/// A `Retry-After` that an endpoint sent.
+/// A `Retry-After` received from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Time to wait, from now on.
+    /// Time to wait, counted from the moment this event is reported.
     pub delay: Duration,
 }
 
-/// All requests in flight. Events are kept until they are taken.
+/// All requests in flight. Events are queued until the caller takes them with one of the `take_` methods.
 pub struct Requests {
     pool: ConnectionPool,
     connect_timeout: Duration,
     report_fields: LoadReportFields,
-    /// Connections of the attempts without an outcome.
+    /// Connection of each attempt that has no outcome yet.
     attempts: HashMap<Attempt, ConnectionId>,
     connected: Vec<Attempt>,
     ready_to_commit: Vec<Attempt>,
@@ -67,7 +70,7 @@
 }
 
 impl Requests {
-    /// No requests.
+    /// Creates an empty set of requests.
     pub fn new(limits: ConnectionLimits) -> Self {
         Requests {
             pool: ConnectionPool::new(limits.idle_timeout, limits.max_connections),
@@ -81,42 +84,43 @@
         }
     }
 
-    /// Number of attempts without an outcome.
+    /// Number of attempts that have no outcome yet.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Number of connections open or being established.
+    /// Number of connections that are open or being established.
     pub fn connections(&self) -> usize {
         self.pool.len()
     }
 
-    /// Attempts whose connection is established: their bytes are awaited.
+    /// Takes the attempts whose connection is established and whose request can now be written.
     pub fn take_connected(&mut self) -> Vec<Attempt> {
         std::mem::take(&mut self.connected)
     }
 
-    /// Attempts whose last byte may be written once the log has them.
+    /// Takes the attempts whose last byte may be written as soon as they are recorded in the log.
     pub fn take_ready_to_commit(&mut self) -> Vec<Attempt> {
         std::mem::take(&mut self.ready_to_commit)
     }
 
-    /// Attempts that ended, in order.
+    /// Takes the attempts that ended, in the order in which they did.
     pub fn take_completed(&mut self) -> Vec<CompletedAttempt> {
         std::mem::take(&mut self.completed)
     }
 
-    /// `Retry-After` of responses, each as soon as its head was read.
+    /// Takes the `Retry-After` values of responses; each is reported as soon as the response head is read.
     pub fn take_retry_after(&mut self) -> Vec<RetryAfter> {
         std::mem::take(&mut self.retry_after)
     }
 
-    /// Whether an attempt was connected, became ready to commit or ended, and was not taken.
+    /// Whether any attempt that connected, became ready to commit or ended has not been taken yet.
     pub fn has_pending_events(&self) -> bool {
         !self.connected.is_empty() || !self.ready_to_commit.is_empty() || !self.completed.is_empty()
     }
 
-    /// Gets a connection for an attempt; it is connected at once where a connection is idle.
+    /// Assigns a connection to an attempt: an idle one, which counts as connected at once, or a new one. If the
+    /// connection limit leaves no room, the attempt ends as unsent.
     pub fn connect(
         &mut self,
         now: Time,
@@ -133,9 +137,9 @@
             connection.reader = ResponseReader::new();
             self.attempts.insert(attempt, id);
             self.connected.push(attempt);
-        } else if self.pool.ensure_room(transport) {
-            let until = now + self.connect_timeout;
-            let phase = RequestPhase::Connecting { until };
+        } else if self.pool.ensure_capacity(transport) {
+            let timeout_at = now + self.connect_timeout;
+            let phase = RequestPhase::Connecting { timeout_at };
             let request = ActiveRequest { attempt, phase, stale_connections: 0 };
             self.open_connection(request, endpoint, address, transport);
         } else {
@@ -157,7 +161,7 @@
         self.pool.insert(id, Connection { endpoint, address, state, reader, is_reused: false });
     }
 
-    /// Writes the request of a connected attempt but for its last byte.
+    /// Writes the request of a connected attempt except for its last byte.
     pub fn send_all_but_last_byte(
         &mut self,
         now: Time,
@@ -169,13 +173,13 @@
         let Some(&id) = self.attempts.get(&attempt) else { return };
         let Some(request) = self.pool.get_mut(id).and_then(Connection::active) else { return };
         if let RequestPhase::Connected = request.phase {
-            let until = now + LAST_BYTE_DELAY;
-            request.phase = RequestPhase::LastByteHeld { last_byte: *last_byte, until };
+            let timeout_at = now + LAST_BYTE_DELAY;
+            request.phase = RequestPhase::LastByteHeld { last_byte: *last_byte, timeout_at };
             transport.write(id, first_bytes);
         }
     }
 
-    /// Writes the last byte of an attempt that is ready to commit. The log must have the attempt.
+    /// Writes the last byte of an attempt that is ready to commit. The attempt must already be recorded in the log.
     pub fn commit(&mut self, attempt: Attempt, transport: &mut impl Transport) {
         let Some(&id) = self.attempts.get(&attempt) else { return };
         let Some(request) = self.pool.get_mut(id).and_then(Connection::active) else { return };
@@ -185,8 +189,9 @@
         }
     }
 
-    /// Takes back an attempt that is not committed and may not be sent any more: it ends as if it had never been decided
-    /// on. Its connection is reused where nothing was written on it and its endpoint is listed at its address.
+    /// Aborts an attempt that is not committed and may no longer be sent; its outcome is that it was not started. Its
+    /// connection returns to the pool if nothing was written on it and the endpoint is still listed at its address
+    /// (`is_listed`), and is closed otherwise.
     pub fn abort_before_send(
         &mut self,
         now: Time,
@@ -196,8 +201,8 @@
     ) {
         let Some(id) = self.detach(attempt) else { return };
         let request = self.pool.get_mut(id).and_then(Connection::active);
-        let is_clean = request.is_some_and(|request| matches!(request.phase, RequestPhase::Connected));
-        if is_clean && is_listed {
+        let is_unwritten = request.is_some_and(|request| matches!(request.phase, RequestPhase::Connected));
+        if is_unwritten && is_listed {
             self.pool.make_idle(now, id);
         } else {
             self.pool.close(id, transport);
@@ -205,21 +210,22 @@
         self.complete(attempt, TransportOutcome::NotStarted.into());
     }
 
-    /// Abandons an attempt: no result of it is reported. Its connection is closed, as its response must not be taken for
-    /// another's; after a whole request only our side is shut down at first. Guards against a `Retry-After` that is on
-    /// its way at this moment: it binds from its writing on, whoever still reads it.
+    /// Abandons an attempt without reporting a result. Its connection is not reused, because the late response would be
+    /// taken for that of the next request. If the whole request was sent, only the write side is shut down for now: a
+    /// `Retry-After` may be on its way, and it applies from the moment the endpoint sends it, whether or not the
+    /// response is still awaited.
     pub fn abandon(&mut self, now: Time, attempt: Attempt, transport: &mut impl Transport) {
         let Some(id) = self.detach(attempt) else { return };
         match self.pool.get_mut(id) {
             Some(Connection { state, .. }) if is_request_sent(state) => {
-                *state = ConnectionState::Abandoned { until: now + REST_TIMEOUT };
+                *state = ConnectionState::Abandoned { timeout_at: now + REMAINDER_TIMEOUT };
                 transport.shutdown_write(id);
             }
             _ => self.pool.close(id, transport),
         }
     }
 
-    /// Takes an attempt out, with its events; its connection, if it has one.
+    /// Removes an attempt and its queued events, and returns its connection, if it has one.
     fn detach(&mut self, attempt: Attempt) -> Option<ConnectionId> {
         self.connected.retain(|connected| *connected != attempt);
         self.ready_to_commit.retain(|ready| *ready != attempt);
@@ -234,12 +240,12 @@
         self.attempts.get(&attempt).and_then(|id| self.pool.get(*id))
     }
 
-    /// The endpoint of an attempt without an outcome.
+    /// The endpoint of an attempt that has no outcome yet.
     pub fn endpoint(&self, attempt: Attempt) -> Option<EndpointId> {
         self.connection_of(attempt).map(|connection| connection.endpoint)
     }
 
-    /// Whether an attempt's endpoint is still listed at the address of its connection.
+    /// Whether an attempt's endpoint is still listed at the address that its connection leads to.
     pub fn targets_listed_endpoint(
         &self,
         attempt: Attempt,
@@ -254,7 +260,8 @@
         self.pool.close_idle(endpoint, transport);
     }
 
-    /// Closes idle connections to endpoints that a new list does not have at their address.
+    /// Closes connections without an active attempt to endpoints that a new endpoint list no longer has at the
+    /// connection's address.
     pub fn retain_listed(
         &mut self,
         address: impl Fn(EndpointId) -> Option<SocketAddr>,
@@ -263,12 +270,12 @@
         self.pool.retain_listed(address, transport);
     }
 
-    /// Whether a connection leads to an endpoint.
+    /// Whether a connection is one of the connections to endpoints.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.pool.contains(connection)
     }
 
-    /// A connection was established.
+    /// Handles a connection that was established.
     pub fn on_connected(&mut self, connection: ConnectionId) {
         let Some(request) = self.pool.get_mut(connection).and_then(Connection::active) else { return };
         if let RequestPhase::Connecting { .. } = request.phase {
@@ -277,7 +284,7 @@
         }
     }
 
-    /// All bytes written on a connection were passed to the operating system.
+    /// Handles the report that all bytes written on a connection were passed to the operating system.
     pub fn on_flushed(&mut self, connection: ConnectionId) {
         let Some(request) = self.pool.get_mut(connection).and_then(Connection::active) else { return };
         if let RequestPhase::Committed { flushed } = &mut request.phase {
@@ -285,9 +292,9 @@
         }
     }
 
-    /// A connection could not be established, or ended; `clean` where the endpoint closed it in order. Where it was
-    /// reused and ended before the request's last byte, the attempt goes on with a new one: the endpoint has not begun
-    /// to process it, and need not be unhealthy.
+    /// Handles a connection that could not be established or has ended; `clean` means an orderly close by the endpoint.
+    /// If it was a reused connection and ended before the request's last byte was written, the attempt continues on a
+    /// new connection: the endpoint has not started to process the request and is not necessarily unhealthy.
     pub fn on_closed(
         &mut self,
         now: Time,
@@ -305,19 +312,19 @@
             | RequestPhase::ReadyToCommit { .. }
                 if closed.is_reused && request.stale_connections < MAX_STALE_CONNECTIONS =>
             {
-                let phase = RequestPhase::Connecting { until: now + self.connect_timeout };
+                let phase = RequestPhase::Connecting { timeout_at: now + self.connect_timeout };
                 let stale_connections = request.stale_connections + 1;
                 let request = ActiveRequest { attempt, phase, stale_connections };
                 return self.open_connection(request, closed.endpoint, closed.address, transport);
             }
             RequestPhase::Committed { flushed: true } => closed.reader.end(clean, &self.report_fields),
-            // What ended before the request's last byte was written never ran.
+            // The request was not written completely, so it was never processed.
             _ => Some(TransportOutcome::ConnectFailed.into()),
         };
         self.completed.extend(result.map(|result| CompletedAttempt { attempt, result }));
     }
 
-    /// Bytes were received on a connection.
+    /// Handles bytes received on a connection.
     pub fn on_bytes(
         &mut self,
         now: Time,
@@ -325,19 +332,20 @@
         bytes: &[u8],
         transport: &mut impl Transport,
     ) {
-        let Some(receiver) = self.pool.get_mut(connection) else { return };
-        if let ConnectionState::Idle { .. } = receiver.state {
-            // Nothing was asked: a late copy or noise, which a later request would take for its response.
+        let Some(pooled) = self.pool.get_mut(connection) else { return };
+        if let ConnectionState::Idle { .. } = pooled.state {
+            // No request is outstanding. A duplicate response or garbage would be taken for the next response.
             return self.pool.close(connection, transport);
         }
-        let progress = receiver.reader.on_bytes(Duration::from_nanos(now.0), bytes, &self.report_fields);
-        let endpoint = receiver.endpoint;
+        let progress = pooled.reader.on_bytes(Duration::from_nanos(now.0), bytes, &self.report_fields);
+        let endpoint = pooled.endpoint;
         self.retry_after.extend(progress.retry_after.map(|delay| RetryAfter { endpoint, delay }));
-        match receiver.active().map(|request| &request.phase) {
+        match pooled.active().map(|request| &request.phase) {
             Some(RequestPhase::Committed { .. }) | None => {
                 self.on_response(now, connection, &progress, transport);
             }
-            // What comes before the request is whole answers nothing: it is noise, or a refusal of the connection.
+            // Bytes that arrive before the whole request was written cannot be its response: they are garbage, or the
+            // endpoint refuses the connection.
             Some(_) => {
                 transport.close(connection);
                 self.on_closed(now, connection, false, transport);
@@ -345,7 +353,7 @@
         }
     }
 
-    /// Bytes of a response were read: reports the attempt's result, and closes or reuses the connection.
+    /// Reports the attempt's result once the response gives it, and closes the connection or returns it to the pool.
     fn on_response(
         &mut self,
         now: Time,
@@ -353,33 +361,34 @@
         progress: &ResponseProgress,
         transport: &mut impl Transport,
     ) {
-        let Some(receiver) = self.pool.get_mut(connection) else { return };
-        let is_request_sent = is_request_sent(&receiver.state);
-        let is_abandoned = matches!(receiver.state, ConnectionState::Abandoned { .. });
-        let attempt = receiver.active().map(|request| request.attempt);
+        let Some(pooled) = self.pool.get_mut(connection) else { return };
+        let is_request_sent = is_request_sent(&pooled.state);
+        let is_abandoned = matches!(pooled.state, ConnectionState::Abandoned { .. });
+        let attempt = pooled.active().map(|request| request.attempt);
         if let (Some(result), Some(attempt)) = (progress.result, attempt) {
-            receiver.state = ConnectionState::ReadingRest { until: now + REST_TIMEOUT };
+            pooled.state = ConnectionState::ReadingRemainder { timeout_at: now + REMAINDER_TIMEOUT };
             self.attempts.remove(&attempt);
             self.complete(attempt, result);
         }
         match progress.reuse {
-            // What follows can't tell anything more.
+            // The remaining bytes of the response would add nothing.
             _ if is_abandoned && (progress.result.is_some() || progress.retry_after.is_some()) => {
                 self.pool.close(connection, transport);
             }
             ConnectionReuse::Incomplete => {}
-            // After a response that came before the request was written whole, the rest of the request is in the way.
+            // If the response came before the request was fully written, the connection cannot be reused: the remaining
+            // request bytes would precede the next request.
             ConnectionReuse::Reusable if is_request_sent => self.pool.make_idle(now, connection),
             ConnectionReuse::Reusable | ConnectionReuse::Unusable => self.pool.close(connection, transport),
         }
     }
 
-    /// When [`Requests::on_tick`] must be called at the latest.
+    /// The latest time at which [`Requests::on_tick`] must be called, if any connection has a timeout.
     pub fn next_timeout(&self) -> Option<Time> {
         self.pool.next_timeout()
     }
 
-    /// Makes attempts ready to commit whose last byte was held back long enough, and ends what has timed out.
+    /// Marks attempts whose last byte was held long enough as ready to commit, and closes connections that timed out.
     pub fn on_tick(&mut self, now: Time, transport: &mut impl Transport) {
         for id in self.pool.timed_out(now) {
             if !self.release_last_byte(id) {
@@ -389,7 +398,7 @@
         }
     }
 
-    /// Makes the attempt on a connection ready to commit, if its last byte is held back.
+    /// Marks the attempt on a connection as ready to commit if its last byte is held; returns whether it was.
     fn release_last_byte(&mut self, connection: ConnectionId) -> bool {
         let Some(request) = self.pool.get_mut(connection).and_then(Connection::active) else { return false };
         let RequestPhase::LastByteHeld { last_byte, .. } = request.phase else { return false };
@@ -399,13 +408,13 @@
     }
 }
 
-/// Whether the whole request of a connection was passed to the operating system.
+/// Whether the whole request on a connection was passed to the operating system.
 fn is_request_sent(state: &ConnectionState) -> bool {
     match state {
         ConnectionState::Active(request) => {
             matches!(request.phase, RequestPhase::Committed { flushed: true })
         }
-        ConnectionState::ReadingRest { .. } | ConnectionState::Abandoned { .. } => true,
+        ConnectionState::ReadingRemainder { .. } | ConnectionState::Abandoned { .. } => true,
         ConnectionState::Idle { .. } => false,
     }
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,17 +1,19 @@
-//! An endpoint's response: how the attempt ended, whether it may have run, whether its connection can be reused.
+//! Interprets an endpoint's response: the attempt's outcome, whether the request may have been processed, and whether
+//! the connection can be reused.
 //!
-//! | status | the rest | outcome |
+//! | status | rest of the response | outcome |
 //! | --- | --- | --- |
 //! | 200 | anything | processed, as soon as the status line is read |
-//! | 429 | whole | rejected, with a `Retry-After` that can be read |
-//! | 503 | whole | rejected; with `X-Line-Busy: 1` unsent |
-//! | 503 | whole, closes the connection, no `Retry-After` | connect failed: there is no room for one connection more |
-//! | 504 | whole | unsent: attempts used up |
-//! | 410 | whole | obsolete: the message is over |
-//! | another | whole | error, may have run |
-//! | not 200 | can't be read, over a limit | error, may have run: even a rejection proves nothing there |
+//! | 429 | complete | rejected, with the `Retry-After` if it is valid |
+//! | 503 | complete | rejected; unsent if `X-Line-Busy: 1` is set |
+//! | 503 | complete, closes the connection, no `Retry-After` | connect failed: no room for another connection |
+//! | 504 | complete | unsent: attempts exhausted |
+//! | 410 | complete | obsolete: the message has already ended |
+//! | any other | complete | error, may have been processed |
+//! | not 200 | malformed or over a limit | error, may have been processed, even with a rejecting status |
 //!
-//! Outcome and `Retry-After` are two facts: the latter counts as soon as the head is read, whatever becomes of the rest.
+//! The outcome and the `Retry-After` are reported independently: the latter counts as soon as the head is read, even if
+//! the rest of the response never arrives or is malformed.
 
 use crate::limits::MAX_BODY_BYTES;
 use cloverstile::RateLimitStatus;
@@ -19,17 +21,18 @@
 use cloverstile_http::{Decoder, Headers, Item, Limits, Message, Start};
 use std::time::Duration;
 
-/// Longest `Retry-After`; one that is longer is cut to it.
+/// Maximum `Retry-After`; longer values are reduced to it.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
-/// Largest head of a response, in bytes.
+/// Maximum size of a response head in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// Names of the fields of a load report that the policy reads; a field without a name is not read.
+/// Names of the load report fields that the policy uses. A field without a name is not read, and the rate limit is
+/// known only if both fields are.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReportFields {
-    /// Share of the limit that remains.
+    /// Name of the field with the remaining share of the rate limit.
     pub remaining: Option<String>,
-    /// The limit, in requests a second.
+    /// Name of the field with the rate limit, in requests per second.
     pub limit: Option<String>,
 }
 
@@ -38,40 +41,40 @@
 pub struct AttemptResult {
     /// The outcome.
     pub outcome: TransportOutcome,
-    /// The endpoint's rate limit, where its response reports one that can be read.
+    /// The endpoint's rate limit, if the response contains a valid report of it.
     pub rate_limit: Option<RateLimitStatus>,
 }
 
 impl From<TransportOutcome> for AttemptResult {
-    /// An outcome without a report of the rate limit.
+    /// Wraps an outcome that comes without a rate limit report.
     fn from(outcome: TransportOutcome) -> Self {
         AttemptResult { outcome, rate_limit: None }
     }
 }
 
-/// What some bytes of a response meant.
+/// What a reader learned from the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub struct ResponseProgress {
-    /// The result of the attempt, once.
+    /// The result of the attempt; reported once per response.
     pub result: Option<AttemptResult>,
-    /// The `Retry-After` of a rejection, once: as soon as the head is read, whether or not the rest ever is.
+    /// The `Retry-After` of a rejection; reported once per response, as soon as the head is read.
     pub retry_after: Option<Duration>,
-    /// What the connection can be used for.
+    /// Whether the connection can be reused.
     pub reuse: ConnectionReuse,
 }
 
-/// What a connection can be used for after some bytes of a response.
+/// Whether a connection can be reused after the response bytes read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// The response is incomplete.
+    /// Not known yet: the response is incomplete.
     Incomplete,
     /// The response is complete and another request may be sent.
     Reusable,
-    /// No further request may be sent: it must be closed.
+    /// No further request may be sent: the connection must be closed.
     Unusable,
 }
 
-/// Reads the response to one request.
+/// Incrementally reads the response to one request.
 pub struct ResponseReader {
     decoder: Decoder,
     has_reported_result: bool,
@@ -85,7 +88,7 @@
 }
 
 impl ResponseReader {
-    /// A reader of a response of which nothing was received.
+    /// Creates a reader for a response of which nothing has been received.
     pub fn new() -> Self {
         let limits =
             Limits { max_head_bytes: MAX_HEAD_BYTES, max_body_bytes: MAX_BODY_BYTES, ..Limits::default() };
@@ -96,20 +99,21 @@
         }
     }
 
+    /// Returns the result the first time it is called, and none after that.
     fn report_once(&mut self, result: AttemptResult) -> Option<AttemptResult> {
         (!std::mem::replace(&mut self.has_reported_result, true)).then_some(result)
     }
 
-    /// Reads bytes as they were received; `clock` counts from any fixed start.
+    /// Reads bytes in the order received. `clock` is the time since an arbitrary fixed origin.
     pub fn on_bytes(&mut self, clock: Duration, bytes: &[u8], fields: &LoadReportFields) -> ResponseProgress {
         self.decoder.feed(clock, bytes);
         let next = self.decoder.next(clock);
         let is_processed = self.decoder.status() == Some(200);
         let rejection = self.decoder.head().filter(|(status, _)| is_rejection(*status));
-        let retry_after_of_head = rejection.and_then(|(_, headers)| retry_after(headers));
+        let retry_after_from_head = rejection.and_then(|(_, headers)| retry_after(headers));
         let (result, reuse) = match next {
             Ok(Some(Item::Message(message))) => {
-                // What follows a response belongs to none: the next request would take it for its own.
+                // Surplus bytes after a response would be taken for the response to the next request.
                 let is_reusable = message.keep_alive && self.decoder.buffered_bytes() == 0;
                 let reuse = if is_reusable { ConnectionReuse::Reusable } else { ConnectionReuse::Unusable };
                 (self.report_once(attempt_result(&message, fields)), reuse)
@@ -124,14 +128,15 @@
                 (self.report_once(outcome.into()), ConnectionReuse::Unusable)
             }
         };
-        let retry_after_of_result = result.and_then(|result| result.outcome.retry_after());
+        let retry_after_from_result = result.and_then(|result| result.outcome.retry_after());
         let retry_after =
-            retry_after_of_head.or(retry_after_of_result).filter(|_| !self.has_reported_retry_after);
+            retry_after_from_head.or(retry_after_from_result).filter(|_| !self.has_reported_retry_after);
         self.has_reported_retry_after |= retry_after.is_some();
         ResponseProgress { result, retry_after, reuse }
     }
 
-    /// The connection has ended, in order (`clean`) or not; the result, if it was not reported before.
+    /// Handles the end of the connection, by an orderly close (`clean`) or not. Returns the result unless it was
+    /// already reported.
     pub fn end(&mut self, clean: bool, fields: &LoadReportFields) -> Option<AttemptResult> {
         let message = self.decoder.on_connection_end().ok().flatten().filter(|_| clean);
         let result =
@@ -140,15 +145,16 @@
     }
 }
 
-/// The result of an attempt with a whole response.
+/// The result of an attempt whose response is complete.
 fn attempt_result(message: &Message, fields: &LoadReportFields) -> AttemptResult {
     let Start::Response { status } = message.start else { return TransportOutcome::Error.into() };
     let headers = &message.headers;
     let outcome = match status {
         200 => TransportOutcome::Processed,
         503 if headers.get("x-line-busy") == Some("1") => TransportOutcome::Unsent,
-        // A rate limit applies to requests and keeps the connection; what closes it applies to connections. Guards
-        // against idle ones that fill an endpoint: only a failed connection makes the policy hold fewer.
+        // A rate limit applies to requests and leaves the connection open, so a 503 that closes it is about the number
+        // of connections. It counts as a failed connection because only that makes the policy keep fewer connections,
+        // so that idle ones do not fill the endpoint.
         503 if !message.keep_alive && retry_after(headers).is_none() => TransportOutcome::ConnectFailed,
         _ if is_rejection(status) => TransportOutcome::Rejected(retry_after(headers)),
         504 => TransportOutcome::Unsent,
@@ -162,14 +168,14 @@
     matches!(status, 429 | 503)
 }
 
-/// `Retry-After`, in seconds; none where it can't be read or is not positive.
+/// Parses `Retry-After` in seconds; none if it is missing, malformed or not positive.
 fn retry_after(headers: &Headers) -> Option<Duration> {
     let seconds: f64 = headers.get("retry-after")?.parse().ok()?;
-    let is_delay = seconds.is_finite() && seconds > 0.0;
-    is_delay.then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER.as_secs_f64())))
+    let is_positive = seconds.is_finite() && seconds > 0.0;
+    is_positive.then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER.as_secs_f64())))
 }
 
-/// A field of a load report.
+/// A `NAME=VALUE` field of a load report.
 struct LoadField<'a> {
     name: &'a str,
     value: f64,
@@ -183,11 +189,11 @@
     }
 }
 
-/// The rate limit in a load report, `Srv-Load: NAME=VALUE,...`; none where any of its fields can't be read.
+/// Parses the rate limit from a load report, `Srv-Load: NAME=VALUE,...`; none if any field of the report is malformed.
 fn rate_limit(headers: &Headers, names: &LoadReportFields) -> Option<RateLimitStatus> {
     let report = headers.get("srv-load")?;
     let fields: Vec<LoadField> = report.split(',').map(LoadField::parse).collect::<Option<_>>()?;
-    // The last one counts of fields with the same name.
+    // If a name occurs more than once, the last field counts.
     let value = |name: &Option<String>| {
         let named = fields.iter().rev().find(|field| Some(field.name) == name.as_deref());
         named.map(|field| field.value)
