--- a/crates/resp-gateway/src/client_commands.rs
+++ b/crates/resp-gateway/src/client_commands.rs
@@ -1,7 +1,7 @@
-//! Clients: their connections, their commands and the replies to them.
+//! Client connections, the commands that clients send, and the replies to them.
 
 use crate::client_replies::{busy, undeliverable, ClientReplies, EncodedReply, Reply};
-use crate::delivery::Delivery;
+use crate::delivery::DeliveryState;
 use crate::message_record;
 use crate::sockets::socket_id;
 use cloverstile::{Class, Time};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Bytes of replies that a client has not read, above which its connection is closed.
+/// A client's connection is closed when more than this many bytes of replies are unread.
 const MAX_UNREAD_BYTES: usize = 256 << 10;
 
 /// All clients of the gateway.
@@ -25,12 +25,13 @@
     sessions: ClientSessions,
     classes: Vec<Class>,
     class_names: Vec<String>,
-    /// Replies of this turn.
+    /// The replies of this turn.
     pub replies: ClientReplies,
 }
 
 impl ClientCommands {
-    /// No clients yet, `max_clients` at most. `classes` and `class_names` are those under which they may submit.
+    /// Creates the state for at most `max_clients` clients. Clients may submit messages of `classes`, which they name by
+    /// `class_names`.
     pub fn new(max_clients: usize, classes: Vec<Class>, class_names: Vec<String>) -> Self {
         let (sessions, replies) = (ClientSessions::new(max_clients), ClientReplies::default());
         ClientCommands { sessions, classes, class_names, replies }
@@ -41,35 +42,35 @@
         self.sessions.len()
     }
 
-    /// Whether a connection is a client's.
+    /// Whether a connection belongs to a client.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.sessions.owns(connection)
     }
 
-    /// When [`ClientCommands::on_tick`] has something to do next.
+    /// The time at which [`ClientCommands::on_tick`] is next due.
     pub fn next_timeout(&self) -> Option<Time> {
         self.sessions.next_timeout()
     }
 
-    /// A client connected.
+    /// Handles a new connection from a client.
     pub fn on_accepted(&mut self, now: Time, connection: ConnectionId) {
         debug!(connection = connection.0, clients = self.len(), "client connected");
         self.sessions.accept(now, connection);
     }
 
-    /// A client's connection ended.
+    /// Handles the end of a client's connection.
     pub fn on_closed(&mut self, connection: ConnectionId) {
         self.sessions.remove(connection);
     }
 
-    /// A client has ended its sending: it is disconnected behind its replies.
+    /// Handles the end of a client's stream: the client is disconnected after its replies.
     pub fn on_peer_finished(&mut self, connection: ConnectionId) {
         if let Some(finished) = self.sessions.on_peer_finished(connection) {
             self.disconnect(&finished);
         }
     }
 
-    /// Disconnects clients whose time is over, and those that are too many. Call it once the turn's events are handled.
+    /// Disconnects clients that timed out and those above the connection limit. Call it once the turn's events are handled.
     pub fn on_tick(&mut self, now: Time) {
         for expired in self.sessions.on_tick(now) {
             self.disconnect(&expired);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Disconnects a client that is no longer among the sessions, behind this turn's replies to it.
+    /// Disconnects a client, whose session has already been removed, after this turn's replies to it.
     fn disconnect(&mut self, Disconnect { connection, reason }: &Disconnect) {
         debug!(connection = connection.0, ?reason, clients = self.len(), "client disconnected");
         if let Some(text) = reason.error_text() {
@@ -88,11 +89,17 @@
         self.replies.close_after_replies(*connection);
     }
 
-    /// Executes the commands that a client's bytes complete.
-    pub fn on_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8], delivery: &mut Delivery) {
+    /// Executes the commands that are complete once these bytes from a client have arrived.
+    pub fn on_bytes(
+        &mut self,
+        now: Time,
+        connection: ConnectionId,
+        bytes: &[u8],
+        delivery: &mut DeliveryState,
+    ) {
         let received = self.sessions.on_bytes(now, connection, bytes);
-        for words in &received.commands {
-            let reply = self.execute(now, connection, words, delivery);
+        for arguments in &received.commands {
+            let reply = self.execute(now, connection, arguments, delivery);
             self.replies.push(connection, reply);
         }
         if let Some(reason) = received.disconnect {
@@ -107,12 +114,12 @@
         &mut self,
         now: Time,
         connection: ConnectionId,
-        words: &[Vec<u8>],
-        delivery: &mut Delivery,
+        arguments: &[Vec<u8>],
+        delivery: &mut DeliveryState,
     ) -> Reply {
         let is_known = |destination| delivery.endpoints.has_destination(destination);
         let classes = RequestClasses { classes: &self.classes, names: &self.class_names };
-        match client_request::parse(now, words, classes, is_known) {
+        match client_request::parse(now, arguments, classes, is_known) {
             Ok(ClientRequest::Ping) => Reply::Bytes(encode_simple_string("PONG")),
             Ok(ClientRequest::Put(put)) => self.submit(now, *put, delivery),
             Err(problem) => {
@@ -122,10 +129,10 @@
         }
     }
 
-    fn submit(&mut self, now: Time, put: PutRequest, delivery: &mut Delivery) -> Reply {
-        // Guards against a refusal of what is held: a resubmission needs no room.
-        let is_known = delivery.engine.message_id(&put.submission.idempotency_key).is_some();
-        if !is_known && !delivery.log.can_accept(put.body.len()) {
+    fn submit(&mut self, now: Time, put: PutRequest, delivery: &mut DeliveryState) -> Reply {
+        // A resubmission needs no room in the log, so a full log must not reject a message that is already held.
+        let is_resubmission = delivery.engine.message_id(&put.submission.idempotency_key).is_some();
+        if !is_resubmission && !delivery.log.can_accept(put.body.len()) {
             debug!(client_id = %put.submission.idempotency_key, "message refused, the log has no room for it");
             return Reply::Bytes(busy(Duration::ZERO));
         }
@@ -147,18 +154,19 @@
                 self.replies.add_submission(id);
                 Reply::Submission(id)
             }
-            known => {
+            admission => {
                 let client_id = String::from_utf8_lossy(&message.id);
-                debug!(%client_id, reason = ?known, "message not accepted anew");
-                self.reply_to_known(&known)
+                debug!(%client_id, reason = ?admission, "message not accepted anew");
+                self.reply_to_admission(&admission)
             }
         }
     }
 
-    /// The reply to a message that is not new: it is held or completed, or there is no room for it.
-    fn reply_to_known(&self, admission: &Admission) -> Reply {
+    /// The reply to a submission that adds no message: the message is held or completed, its id is in use, or the gateway
+    /// accepts no more messages.
+    fn reply_to_admission(&self, admission: &Admission) -> Reply {
         match *admission {
-            // A resubmission: the first reply was lost on the way, or belongs to this very turn.
+            // A resubmission whose first reply was lost, or is still to be sent at the end of this turn.
             Admission::InFlight(id) if self.replies.has_submission(id) => Reply::Submission(id),
             Admission::New(_)
             | Admission::InFlight(_)
@@ -172,7 +180,8 @@
         }
     }
 
-    /// Sends this turn's replies. Call it once the turn's records are in the log.
+    /// Sends this turn's replies and closes the connections that end with them. Call it once the turn's records are in the
+    /// log.
     pub fn send_replies(&mut self, net: &mut Net) {
         for EncodedReply { connection, bytes } in self.replies.take_replies() {
             #[cfg(feature = "planted-defects")]
@@ -191,7 +200,7 @@
         }
     }
 
-    /// The connection of another client in place of one that has left.
+    /// Planted defect: replaces the connection of a client that has disconnected with that of another client.
     #[cfg(feature = "planted-defects")]
     fn another_client(&self, connection: ConnectionId) -> ConnectionId {
         let has_left = is_planted(PlantedDefect::ReplyToAnother) && !self.owns(connection);
@@ -199,7 +208,7 @@
         another.unwrap_or(connection)
     }
 
-    /// Disconnects clients that are between two requests.
+    /// Disconnects clients that are idle between two requests; a client that has not sent its first request yet stays.
     pub fn close_idle(&mut self, net: &mut Net) {
         for connection in self.sessions.take_idle() {
             debug!(connection = connection.0, "client disconnected, the gateway drains");
@@ -207,7 +216,7 @@
         }
     }
 
-    /// Disconnects all clients; one in the middle of a command may submit it again.
+    /// Disconnects all clients. A client whose command is interrupted gets an error reply and may submit again.
     pub fn close_all(&mut self, net: &mut Net) {
         for disconnect in self.sessions.take_all() {
             self.disconnect(&disconnect);
--- a/crates/resp-gateway/src/client_replies.rs
+++ b/crates/resp-gateway/src/client_replies.rs
@@ -1,4 +1,4 @@
-//! Replies to the clients' commands of one turn. They are sent once the turn's records are in the log.
+//! Replies to the client commands of one turn, sent once the turn's records are in the log.
 
 use cloverstile::MessageId;
 use cloverstile_platform::ConnectionId;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Reply to a submission that is rejected; it may be submitted again after `retry_after`, at once where that is zero.
+/// The reply to a rejected submission. The client may submit it again after `retry_after`, at once if that is zero.
 pub fn busy(retry_after: Duration) -> Vec<u8> {
     match retry_after.as_millis() {
         0 => encode_error("BUSY"),
@@ -14,24 +14,24 @@
     }
 }
 
-/// Reply to a submission whose message can not be delivered.
+/// The reply to a submission whose message cannot be delivered.
 pub fn undeliverable() -> Vec<u8> {
     encode_error("ERR given up: it can't be delivered")
 }
 
-/// Reply to one command.
+/// The reply to one command.
 pub enum Reply {
-    /// These bytes.
+    /// An encoded reply.
     Bytes(Vec<u8>),
-    /// The result of a submission of this turn, which is known at the turn's end.
+    /// The result of a submission in this turn, known only at the end of the turn.
     Submission(MessageId),
 }
 
-/// The result of a submission of this turn, as known so far.
+/// The result so far of a submission in this turn.
 enum SubmissionResult {
-    /// The message is held.
+    /// The gateway holds the message.
     Accepted,
-    /// The message ended at once; the client gets these bytes.
+    /// The message was completed within the turn; the client gets this encoded reply.
     Rejected(Vec<u8>),
 }
 
@@ -40,7 +40,7 @@
     reply: Reply,
 }
 
-/// A reply in its final form.
+/// A reply as it is sent to the client.
 pub struct EncodedReply {
     /// The client's connection.
     pub connection: ConnectionId,
@@ -48,7 +48,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Replies of this turn, in the order of the commands.
+/// The replies of this turn, in the order of the commands.
 #[derive(Default)]
 pub struct ClientReplies {
     pending: Vec<PendingReply>,
@@ -62,7 +62,7 @@
         self.pending.push(PendingReply { connection, reply });
     }
 
-    /// Closes a connection behind its replies.
+    /// Marks a connection to be closed after its replies are sent.
     pub fn close_after_replies(&mut self, connection: ConnectionId) {
         self.closing.push(connection);
     }
@@ -77,14 +77,16 @@
         self.submissions.contains_key(&id)
     }
 
-    /// Makes the reply to a submission of this turn a rejection; false where the message is not of this turn.
+    /// Replaces the reply to a submission of this turn with a rejection. Returns false if the message was not submitted in
+    /// this turn.
     pub fn reject_submission(&mut self, id: MessageId, bytes: Vec<u8>) -> bool {
         let Some(result) = self.submissions.get_mut(&id) else { return false };
         *result = SubmissionResult::Rejected(bytes);
         true
     }
 
-    /// Makes the reply to all submissions of this turn that are still accepted a rejection; returns their messages.
+    /// Replaces the replies to all submissions of this turn that are still accepted with a rejection, and returns the ids of
+    /// their messages.
     pub fn reject_accepted(&mut self, bytes: &[u8]) -> Vec<MessageId> {
         let mut rejected = Vec::new();
         for (id, result) in &mut self.submissions {
@@ -96,7 +98,7 @@
         rejected
     }
 
-    /// Takes the replies at the turn's end.
+    /// Takes all replies, encoded, at the end of the turn.
     pub fn take_replies(&mut self) -> Vec<EncodedReply> {
         let submissions = std::mem::take(&mut self.submissions);
         let encode = |PendingReply { connection, reply }| {
@@ -112,7 +114,7 @@
         std::mem::take(&mut self.pending).into_iter().map(encode).collect()
     }
 
-    /// Takes the connections that are closed behind their replies.
+    /// Takes the connections to close after their replies.
     pub fn take_closing(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.closing)
     }
--- a/crates/resp-gateway/src/configuration.rs
+++ b/crates/resp-gateway/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration file, at the start and again after `SIGHUP`.
+//! Reads the configuration file at startup and again on `SIGHUP`.
 
 use crate::error::GatewayError;
 use crate::sockets::Sockets;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// Reads and checks a configuration file.
+/// Reads and validates a configuration file.
 pub fn load(path: &Path) -> Result<Config, GatewayError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| GatewayError::Read { path: path.to_owned(), error })?;
@@ -22,19 +22,19 @@
 }
 
 impl ConfigurationFile {
-    /// The file at this path.
+    /// The configuration file at `path`; it is not read yet.
     pub fn new(path: PathBuf) -> Self {
         ConfigurationFile { path }
     }
 
-    /// Where the file says that clients connect.
+    /// The listen address in the file, or `None` if the file is unreadable or invalid.
     #[cfg(feature = "planted-defects")]
     pub fn listen_address(&self) -> Option<std::net::SocketAddr> {
         load(&self.path).ok().map(|config| config.listen)
     }
 
-    /// Reads the file again and applies what may change while the gateway runs: the address of discovery. A file that is
-    /// not valid changes nothing.
+    /// Reads the file again and applies the only setting that may change while the gateway runs: the address of discovery.
+    /// An unreadable or invalid file changes nothing.
     pub fn reload(
         &self,
         now: Time,
--- a/crates/resp-gateway/src/delivery.rs
+++ b/crates/resp-gateway/src/delivery.rs
@@ -5,14 +5,14 @@
 use cloverstile_platform::endpoint_list::EndpointList;
 use cloverstile_platform::notifications::Notifications;
 
-/// The messages that the gateway holds, and where they can go.
-pub struct Delivery {
-    /// Decides which message goes where and when.
+/// The messages that the gateway holds, and the endpoints that they can be sent to.
+pub struct DeliveryState {
+    /// Runs the delivery policy, which decides which message goes where and when.
     pub engine: Engine,
-    /// What outlasts the process.
+    /// The write-ahead log, from which the next process recovers the messages.
     pub log: MessageLog,
-    /// Endpoints, with their addresses and zones.
+    /// The endpoints, with their addresses and zones.
     pub endpoints: EndpointList,
-    /// Undelivered messages that the platform has not acknowledged.
+    /// Notifications of undelivered messages that the platform has not acknowledged yet.
     pub notifications: Notifications,
 }
--- a/crates/resp-gateway/src/descriptor_limits.rs
+++ b/crates/resp-gateway/src/descriptor_limits.rs
@@ -1,33 +1,34 @@
-//! How the process's file descriptors are divided.
+//! Allocation of the process's file descriptors to their uses.
 
-/// Share of the descriptors for connected clients (who hold a third at most for requests, as the users state).
+/// Share of the descriptors for connected clients. By the users' statement, clients hold at most a third of all
+/// descriptors for requests.
 const CLIENTS_SHARE: f64 = 0.47;
-/// Share for client connections that were closed and are read from a moment longer.
+/// Share for closed client connections, which are held for a short time, unread, until the client has closed too.
 const LINGERING_SHARE: f64 = 0.06;
-/// Share for connections to endpoints. The rest is for files and discovery.
+/// Share for connections to endpoints. The remaining descriptors are for files and discovery.
 const ENDPOINTS_SHARE: f64 = 0.35;
-/// Least number of descriptors for each use.
+/// Minimum number of descriptors for each use.
 const MIN_DESCRIPTORS: usize = 8;
 
-/// Most descriptors for each use.
+/// Maximum number of descriptors for each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// Connected clients.
+    /// Connections of clients.
     pub clients: usize,
-    /// Closed client connections that are still read from.
+    /// Closed client connections that are held, unread, until the client has closed too.
     pub lingering: usize,
     /// Connections to endpoints.
     pub endpoints: usize,
 }
 
 impl DescriptorLimits {
-    /// Divides `total` descriptors.
+    /// Allocates `total` descriptors.
     pub fn new(total: usize) -> Self {
-        let share = |share: f64| ((total as f64 * share) as usize).max(MIN_DESCRIPTORS);
+        let portion = |share: f64| ((total as f64 * share) as usize).max(MIN_DESCRIPTORS);
         DescriptorLimits {
-            clients: share(CLIENTS_SHARE),
-            lingering: share(LINGERING_SHARE),
-            endpoints: share(ENDPOINTS_SHARE),
+            clients: portion(CLIENTS_SHARE),
+            lingering: portion(LINGERING_SHARE),
+            endpoints: portion(ENDPOINTS_SHARE),
         }
     }
 }
--- a/crates/resp-gateway/src/endpoint_discovery.rs
+++ b/crates/resp-gateway/src/endpoint_discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery reports it.
+//! Applies the endpoint list that discovery reports.
 
 use crate::message_pipeline::MessagePipeline;
 use crate::sockets::Sockets;
@@ -10,21 +10,21 @@
 use cloverstile_platform::ConnectionId;
 use tracing::{debug, warn};
 
-/// The watch of the endpoint list.
+/// Watches the endpoint list and applies its updates.
 pub struct EndpointDiscovery {
-    /// The connection to discovery and its questions.
+    /// The connection to discovery and the requests on it.
     pub watch: EndpointWatch,
-    /// Names of the settings, by which entries of the list name their kinds and zones.
+    /// The configured names, by which entries of the list refer to kinds and zones.
     names: SettingNames,
 }
 
 impl EndpointDiscovery {
-    /// A watch that has not connected yet.
+    /// Creates the state from a watch that is not connected yet.
     pub fn new(watch: EndpointWatch, names: SettingNames) -> Self {
         EndpointDiscovery { watch, names }
     }
 
-    /// Bytes arrived from discovery.
+    /// Handles bytes received from discovery.
     pub fn on_bytes(
         &mut self,
         now: Time,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Applies a snapshot or a change of the endpoint list.
+    /// Applies a snapshot of the endpoint list or changes to it.
     pub fn apply(
         &self,
         now: Time,
--- a/crates/resp-gateway/src/error.rs
+++ b/crates/resp-gateway/src/error.rs
@@ -1,52 +1,52 @@
-//! Errors of the gateway's start and run.
+//! Errors that stop the gateway at startup or while it runs.
 
 use cloverstile_platform::config::ConfigError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a gateway could not start or continue.
+/// Reason why a gateway cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// An environment variable is not set.
     #[error("{name} is not set; it must name {expected}")]
     MissingVariable {
-        /// The variable.
+        /// The name of the variable.
         name: &'static str,
-        /// What its value must name.
+        /// Description of the file or directory that its value must name.
         expected: &'static str,
     },
-    /// A file or directory that cannot be read.
+    /// A file or directory cannot be read.
     #[error("{path}: cannot be read: {error}")]
     Read {
-        /// Its path.
+        /// The path of the file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// The error from the operating system.
         #[source]
         error: io::Error,
     },
-    /// A configuration file whose content is not valid.
+    /// The configuration file is invalid.
     #[error("{path}: {error}")]
     Config {
-        /// Its path.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong, and what is allowed.
+        /// The problem, and the values that are allowed.
         #[source]
         error: ConfigError,
     },
-    /// An operation of the system that failed.
+    /// A system operation failed.
     #[error("{operation}: {error}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: String,
-        /// The system's error.
+        /// The error from the operating system.
         #[source]
         error: io::Error,
     },
 }
 
 impl GatewayError {
-    /// Adds the operation that failed to an error of the system, as `map_err` takes it.
-    pub(crate) fn failed_to(operation: impl Into<String>) -> impl FnOnce(io::Error) -> GatewayError {
+    /// Returns a function for `map_err` that adds the name of the failed operation to an I/O error.
+    pub(crate) fn io_error(operation: impl Into<String>) -> impl FnOnce(io::Error) -> GatewayError {
         let operation = operation.into();
         move |error| GatewayError::Io { operation, error }
     }
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The running gateway: its event loop, and which part an event is for.
+//! The running gateway: its event loop and the dispatch of events to its parts.
 
 use crate::clock::Clock;
 use crate::configuration::ConfigurationFile;
@@ -23,11 +23,11 @@
 }
 
 impl Gateway {
-    /// Runs until a shutdown signal, and then until the shutdown is complete. Messages without a final outcome stay in the
+    /// Runs until a shutdown signal arrives and the shutdown is complete. Messages without a final outcome stay in the
     /// log.
     ///
     /// # Errors
-    /// The event loop's.
+    /// Polling the event loop failed.
     pub fn run(mut self) -> Result<(), GatewayError> {
         loop {
             let now = self.clock.now();
@@ -37,7 +37,7 @@
                 return Ok(());
             }
             let timeout = self.next_timeout(now).map(|at| at - now);
-            let events = self.net.poll(timeout).map_err(GatewayError::failed_to("event loop"))?;
+            let events = self.net.poll(timeout).map_err(GatewayError::io_error("event loop"))?;
             let now = self.clock.now();
             self.on_events(now, events);
             self.on_tick(now);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// When there is something to do if no event comes before.
+    /// The time at which the next turn is due if no event arrives earlier.
     fn next_timeout(&self, now: Time) -> Option<Time> {
         if self.pipeline.has_pending_events() {
             return Some(now);
@@ -69,8 +69,9 @@
         self.pipeline.clients.on_tick(now);
     }
 
-    /// Handles a poll's events. What left comes first: it decides how an attempt is abandoned that has timed out. What was
-    /// read comes behind the time-outs.
+    /// Handles the events of a poll. Flush events come first: whether a request has left decides how its attempt is
+    /// abandoned if it has timed out. Received bytes are handled after the timeouts, so that a response read too late does
+    /// not count.
     fn on_events(&mut self, now: Time, events: Vec<NetEvent>) {
         let (flushed, others): (Vec<_>, Vec<_>) =
             events.into_iter().partition(|event| matches!(event, NetEvent::Flushed(_)));
@@ -132,7 +133,7 @@
         let notifications = &mut pipeline.delivery.notifications;
         configuration.reload(now, &mut discovery.watch, notifications, &mut Sockets(net));
         #[cfg(feature = "planted-defects")]
-        self.run_state.listen_anew(&mut self.net, &self.configuration);
+        self.run_state.listen_again(&mut self.net, &self.configuration);
     }
 
     fn on_shutdown_signal(&mut self, now: Time, signal: SignalKind) {
--- a/crates/resp-gateway/src/lib.rs
+++ b/crates/resp-gateway/src/lib.rs
@@ -1,23 +1,23 @@
-//! The gateway with RESP2 clients on the users' platform: sockets, clock, files and signals, and the turn that ties
-//! them together.
+//! The gateway that serves RESP2 clients: sockets, clock, files and signals, and the event loop that drives them.
 //!
-//! One turn, one write: events are handled, the policy decides, the turn's records go to the log in one write, and
-//! only then do bytes leave for clients and endpoints. So neither `+OK` nor a request is ever ahead of the log. What
-//! any bytes mean is decided in `cloverstile-platform`; which message goes where and when, in the delivery policy.
+//! A turn is one iteration of the event loop: it handles the events of a poll, lets the delivery policy decide, writes
+//! the resulting records to the write-ahead log in a single write, and only then sends bytes to clients and endpoints.
+//! Neither a `+OK` reply nor a request is therefore ever sent before its record is in the log. `cloverstile-platform`
+//! parses and encodes the bytes; the delivery policy decides which message goes where and when.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `environment`, `configuration` | the environment variables, the configuration file and its reload |
-//! | `startup`, `recovery` | the start, and the messages that an earlier process held |
-//! | `gateway` | the event loop, and which part an event is for |
-//! | `message_pipeline` | the turn: decisions, one write of the log, then bytes |
-//! | `client_commands`, `client_replies` | clients, their commands, and the replies of a turn |
-//! | `outgoing_requests` | requests to endpoints, from the decision to the last byte |
-//! | `delivery` | what both share: engine, log, endpoint list, notifications |
-//! | `endpoint_discovery` | updates of the endpoint list |
-//! | `shutdown` | the way from a shutdown signal to the end |
-//! | `message_log`, `message_record`, `name_table` | the log, its records of messages, names of classes and zones in it |
-//! | `clock`, `descriptor_limits`, `sockets` | time, division of file descriptors, connections |
+//! | `environment`, `configuration` | the environment variables, reading and reloading the configuration file |
+//! | `startup`, `recovery` | startup, and recovery of the messages that an earlier process held |
+//! | `gateway` | the event loop and the dispatch of its events |
+//! | `message_pipeline` | one turn: decisions, a single log write, then output |
+//! | `client_commands`, `client_replies` | clients, their commands, and the replies of one turn |
+//! | `outgoing_requests` | requests to endpoints, from the engine's decision to the last byte |
+//! | `delivery` | state shared by commands and requests: engine, log, endpoint list, notifications |
+//! | `endpoint_discovery` | updates to the endpoint list |
+//! | `shutdown` | the phases from a shutdown signal to the end of the process |
+//! | `message_log`, `message_record`, `name_table` | the log, its message records, and the class and zone names stored in it |
+//! | `clock`, `descriptor_limits`, `sockets` | time, allocation of file descriptors, connections |
 #![forbid(unsafe_code)]
 
 mod client_commands;
--- a/crates/resp-gateway/src/message_log.rs
+++ b/crates/resp-gateway/src/message_log.rs
@@ -1,7 +1,7 @@
-//! The write-ahead log of a gateway, and whether it can be written at present.
+//! The write-ahead log of a gateway, and whether it is currently writable.
 //!
-//! A commit that fails is tried again by a timer of its own, at growing gaps, until it succeeds. Meanwhile nothing is
-//! accepted and nothing sent; what happens to requests in flight is kept in memory and stored with the next commit.
+//! A failed commit is retried on its own timer with exponential backoff until it succeeds. Until then no message is
+//! accepted and no request sent; records about requests in flight are kept in memory and stored with the next commit.
 
 use cloverstile::{MessageId, Time};
 use cloverstile_wal::store::DirectoryStore;
@@ -11,36 +11,36 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// Gap before a failed commit is tried again; doubled after each failure.
+/// Delay before a failed commit is first retried; doubled after each further failure.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Longest gap between two tries.
+/// Longest delay between two retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The log can't be written at present: nothing of this turn is stored.
+/// The log is currently not writable: no record of this turn is stored.
 #[derive(Debug)]
 pub struct LogUnwritable;
 
-/// When a failed commit is tried again.
+/// Schedule for the retry of a failed commit.
 struct CommitRetry {
-    at: Time,
+    due_at: Time,
     delay: Duration,
 }
 
 /// The log of all messages that the gateway holds.
 pub struct MessageLog {
     log: Log<DirectoryStore>,
-    /// The last commit failed.
+    /// Set while the last commit has failed.
     retry: Option<CommitRetry>,
 }
 
 impl MessageLog {
-    /// Opens the log in a directory, with at most `max_bytes` on disk, and reads what an earlier process left.
+    /// Opens the log in `directory`, limited to `max_bytes` on disk, and reads the records of an earlier process.
     pub fn open(directory: &Path, max_bytes: u64) -> io::Result<(MessageLog, Recovered)> {
         let (log, recovered) = Log::open(DirectoryStore::new(directory), max_bytes)?;
         if let Some(reason) = &recovered.decode_error {
             warn!(bytes = recovered.discarded_bytes, %reason, "torn or damaged end of the log discarded");
         } else if recovered.discarded_bytes > 0 {
-            warn!(bytes = recovered.discarded_bytes, "log without a readable head discarded");
+            warn!(bytes = recovered.discarded_bytes, "log without a readable header discarded");
         }
         if let Some(error) = &recovered.leftovers {
             warn!(%error, "file of an earlier log can't be removed, it does not count");
@@ -48,31 +48,34 @@
         Ok((MessageLog { log, retry: None }, recovered))
     }
 
-    /// Adds a record to this turn's write.
+    /// Adds a record to this turn's commit.
     pub fn record(&mut self, record: Record) {
         self.log.record(record);
     }
 
-    /// Records that a message needs nothing more.
+    /// Records that a message is completed and its client or the platform needs no further report.
     pub fn record_completed(&mut self, message_number: u32) {
         self.log.record(Record::Completed { message_number });
     }
 
-    /// A message that the gateway holds.
+    /// The message with this id, if the gateway holds it.
     pub fn message(&self, id: MessageId) -> Option<&LiveMessage> {
         self.log.message(id.0)
     }
 
-    /// The client's id of a message, as log lines name it; empty for one that the gateway does not hold.
+    /// The id that the client gave a message, for log lines; empty if the gateway does not hold the message.
     pub fn client_id(&self, id: MessageId) -> String {
         self.message(id).map_or_else(String::new, |message| String::from_utf8_lossy(&message.id).into_owned())
     }
 
-    /// Whether a message with a body of so many bytes may be accepted.
+    /// Whether a message with a body of `body_bytes` bytes may be accepted.
     pub fn can_accept(&self, body_bytes: usize) -> bool {
         let can_accept = self.is_writable() && self.log.has_room(body_bytes);
         if !can_accept {
-            debug!(writable = self.is_writable(), body_bytes, "no room in the log");
+            debug!(
+                writable = self.is_writable(),
+                body_bytes, "message does not fit into the log, or the log is not writable"
+            );
         }
         can_accept
     }
@@ -87,14 +90,14 @@
         self.is_writable() && self.log.is_stored()
     }
 
-    /// When a failed commit is tried again.
+    /// The time at which a failed commit is retried.
     pub fn next_timeout(&self) -> Option<Time> {
-        self.retry.as_ref().map(|retry| retry.at)
+        self.retry.as_ref().map(|retry| retry.due_at)
     }
 
-    /// Writes this turn's records in one write; after a failure only once the next try is due.
+    /// Writes this turn's records in a single write. After a failure it writes only once the retry is due.
     pub fn commit(&mut self, now: Time) -> Result<(), LogUnwritable> {
-        if self.retry.as_ref().is_some_and(|retry| retry.at > now) {
+        if self.retry.as_ref().is_some_and(|retry| retry.due_at > now) {
             return Err(LogUnwritable);
         }
         match self.log.commit() {
@@ -105,13 +108,13 @@
                 Ok(())
             }
             Err(error) => {
-                self.postpone(now, &error);
+                self.schedule_retry(now, &error);
                 Err(LogUnwritable)
             }
         }
     }
 
-    fn postpone(&mut self, now: Time, error: &io::Error) {
+    fn schedule_retry(&mut self, now: Time, error: &io::Error) {
         let delay = match &self.retry {
             Some(retry) => (retry.delay * 2).min(MAX_RETRY_DELAY),
             None => FIRST_RETRY_DELAY,
@@ -121,6 +124,6 @@
         } else {
             debug!(%error, ?delay, "log still not writable");
         }
-        self.retry = Some(CommitRetry { at: now + delay, delay });
+        self.retry = Some(CommitRetry { due_at: now + delay, delay });
     }
 }
--- a/crates/resp-gateway/src/message_pipeline.rs
+++ b/crates/resp-gateway/src/message_pipeline.rs
@@ -1,12 +1,12 @@
-//! The turn: what a poll's events lead to, in the order that makes it safe.
+//! One turn of the event loop, in the order that keeps the log ahead of all output.
 //!
-//! The policy decides, the turn's records go to the log in one write, and only then do last bytes of requests, replies
-//! and notifications leave.
+//! The delivery policy decides, the turn's records are written to the log in a single write, and only then are the last
+//! bytes of requests, the replies and the notifications sent.
 
 use crate::client_commands::ClientCommands;
 use crate::client_replies::{busy, undeliverable};
 use crate::clock::Clock;
-use crate::delivery::Delivery;
+use crate::delivery::DeliveryState;
 use crate::message_record;
 use crate::outgoing_requests::OutgoingRequests;
 use crate::sockets::Sockets;
@@ -22,28 +22,28 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// Rounds of decisions in one turn: what a decision leads to at once may lead to more.
+/// Maximum rounds of decisions in one turn: events that follow at once from a decision may lead to further decisions.
 const MAX_ROUNDS: usize = 16;
 
-/// All that a message passes on its way: the clients, the engine with its log, and the requests to endpoints.
+/// The stages that a message passes through: client commands, the engine with its log, and requests to endpoints.
 pub struct MessagePipeline {
     /// Clients and the replies to them.
     pub clients: ClientCommands,
     /// The messages that the gateway holds.
-    pub delivery: Delivery,
+    pub delivery: DeliveryState,
     /// Requests to endpoints.
     pub outgoing: OutgoingRequests,
-    /// A shutdown has gone so far that nothing new is sent.
+    /// Whether a shutdown has reached the phase in which no new request is sent.
     pub sending_ended: bool,
 }
 
 impl MessagePipeline {
-    /// Whether there is something to decide or to report at once.
+    /// Whether the engine or the requests have events that must be handled at once.
     pub fn has_pending_events(&self) -> bool {
         self.outgoing.requests.has_pending_events() || self.delivery.engine.has_pending_events()
     }
 
-    /// What a shutdown waits for.
+    /// The work that a shutdown waits for.
     pub fn pending_work(&self, net: &Net) -> PendingWork {
         PendingWork {
             messages: self.delivery.engine.pending_messages(),
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Ends the attempts whose time is over. Call it ahead of a poll's events: what was read of a response meanwhile came
-    /// behind the time that its request has told the endpoint, and counts for nothing but its `Retry-After`.
+    /// Ends the attempts whose deadline has passed. Call it before the bytes of a poll are handled: response bytes read by
+    /// then arrived after the deadline that the request gave the endpoint, so only their `Retry-After` counts.
     pub fn time_out_attempts(&mut self, now: Time, net: &mut Net) {
         #[cfg(feature = "planted-defects")]
         if is_planted(PlantedDefect::LateResponses) {
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Executes the commands that a client's bytes complete.
+    /// Executes the commands that are complete once these bytes from a client have arrived.
     pub fn on_client_bytes(&mut self, now: Time, connection: ConnectionId, bytes: &[u8]) {
         self.clients.on_bytes(now, connection, bytes, &mut self.delivery);
     }
 
-    /// Handles the platform's response to notifications: requests that waited for one go on.
+    /// Handles the platform's responses to notifications and continues requests that waited for one.
     pub fn on_notification_bytes(
         &mut self,
         now: Time,
@@ -92,7 +92,8 @@
         self.outgoing.connect_unblocked(now, delivery, &mut Sockets(net));
     }
 
-    /// Runs one turn: decides, writes the log, then sends. `clock` tells how long the log took.
+    /// Runs one turn: decides, writes the log, then sends. `now` is the start of the turn; `clock` gives the time after the
+    /// log write, which may take long.
     pub fn run_turn(&mut self, now: Time, clock: &Clock, net: &mut Net) {
         self.decide(now, net);
         #[cfg(feature = "planted-defects")]
@@ -104,27 +105,28 @@
         } else {
             self.undo_unlogged(now, net);
         }
-        self.update_sending();
+        self.update_sending_paused();
         self.outgoing.commit(clock.now(), &mut self.delivery, &mut Sockets(net));
         self.clients.send_replies(net);
         self.delivery.notifications.on_tick(now, &mut Sockets(net));
     }
 
-    /// Ends sending: a shutdown waits for the requests in flight alone.
+    /// Ends sending: from now on a shutdown waits only for requests in flight.
     pub fn end_sending(&mut self) {
         self.sending_ended = true;
-        self.update_sending();
+        self.update_sending_paused();
     }
 
-    /// Lets the engine send unless the log can't be written, which must know of each attempt, or sending has ended.
-    fn update_sending(&mut self) {
+    /// Pauses the engine's sending while the log is not writable, because each attempt must be logged before it is sent,
+    /// and once sending has ended.
+    fn update_sending_paused(&mut self) {
         let paused = self.sending_ended || !self.delivery.log.is_writable();
         if paused != self.delivery.engine.is_sending_paused() {
             self.delivery.engine.set_sending_paused(paused);
         }
     }
 
-    /// Reports what happened to the engine and executes what it decides, until nothing more follows.
+    /// Reports events to the engine and executes its commands until no events are pending, in at most [`MAX_ROUNDS`] rounds.
     fn decide(&mut self, now: Time, net: &mut Net) {
         for _ in 0..MAX_ROUNDS {
             self.outgoing.report_retry_after(now, &mut self.delivery.engine);
@@ -140,13 +142,14 @@
         }
     }
 
-    /// Guards against effects that the log knows nothing of: without a log nothing is accepted and nothing sent.
+    /// Undoes this turn's submissions and request starts after a failed commit: without a log record no message may be
+    /// accepted and no request sent.
     fn undo_unlogged(&mut self, now: Time, net: &mut Net) {
         self.outgoing.withdraw_uncommitted(now, &mut self.delivery, &mut Sockets(net));
         for id in self.clients.replies.reject_accepted(&busy(Duration::ZERO)) {
             let client_id = self.delivery.log.client_id(id);
             debug!(%client_id, message_id = id.0, "message refused, it could not be logged");
-            // Guards against a "+OK" for a resubmission, as of a message that was accepted.
+            // Without this, a resubmission would get "+OK" as if the message had been accepted.
             self.delivery.engine.reject(now, id);
             self.delivery.log.record_completed(id.0);
         }
@@ -168,8 +171,8 @@
         }
     }
 
-    /// Records a message's final outcome and reports it: to the client within the turn of its submission, to the platform
-    /// later. A delivered message is not reported.
+    /// Records a message's final outcome and reports it: in the reply to the client if the message was submitted in this
+    /// turn, otherwise as a notification to the platform. Delivered and cancelled messages are not reported.
     fn complete(&mut self, now: Time, id: MessageId, outcome: FinalOutcome) {
         let in_this_turn = self.clients.replies.has_submission(id);
         debug!(
@@ -194,10 +197,11 @@
         }
         let Some(message) = self.delivery.log.message(id) else { return };
         let notification = message_record::notification(message, state);
-        // What the log does not know may be delivered by the next process, but for a message whose time is over: the log
-        // knows that. So its notification is not held back, it would be too late behind a disk that fails for long.
-        let is_over = Time(message.deadline) <= now;
-        let release = if is_over { Release::AtOnce } else { Release::OnceStored };
+        // If the process ends before this record is stored, the next process may still deliver the message; so the
+        // notification waits for the log. Past the deadline, which is in the log, no process delivers the message, and a
+        // notification that waited for a disk that fails for long would be too late: it is released at once.
+        let is_past_deadline = Time(message.deadline) <= now;
+        let release = if is_past_deadline { Release::AtOnce } else { Release::OnceStored };
         debug!(client_id = %notification.message_id, message_id = id.0, ?state, ?release, "notification pending");
         self.delivery.notifications.enqueue(id.0, notification, release);
         self.delivery.log.record(Record::NotificationPending { message_number: id.0, state });
--- a/crates/resp-gateway/src/message_record.rs
+++ b/crates/resp-gateway/src/message_record.rs
@@ -1,5 +1,5 @@
-//! Conversions between a message as the log stores it and what the engine, the platform and an endpoint need of it.
-//! Free of I/O.
+//! Converts between a message as stored in the log and its forms for the engine, the platform and an endpoint. Performs no
+//! I/O.
 
 use cloverstile::{Class, ClassId, DestinationId, OrderKey, RecoveredAttempts, TenantId, Time, ZoneId};
 use cloverstile_engine::SubmitRequest;
@@ -8,11 +8,12 @@
 use cloverstile_wal::{AttemptStart, LiveMessage, TerminalState, UNKNOWN_INDEX};
 use std::time::Duration;
 
-fn text(bytes: &[u8]) -> String {
+fn utf8_lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// What the log stores of a message that a client submits now, with its idempotency key at the partner and its body.
+/// The log's form of a message that a client submits at `now`. `idempotency_key` is the key for the partner, which is not
+/// the id under which the client submits the message.
 pub fn from_submission(
     now: Time,
     submission: &SubmitRequest,
@@ -33,21 +34,21 @@
     }
 }
 
-/// The order key of a message; none where it has none.
+/// The order key of a message, if it has one; the log stores 0 for none.
 pub fn order_key(message: &LiveMessage) -> Option<OrderKey> {
     (message.order_key != 0).then_some(OrderKey(message.order_key))
 }
 
-/// A message of an earlier process, as the engine takes it over.
+/// A message of an earlier process in the form in which the engine recovers it.
 pub struct RecoveredSubmission {
-    /// The message.
+    /// The message as a submission.
     pub request: SubmitRequest,
-    /// Its attempts so far.
+    /// The attempts made so far.
     pub attempts: RecoveredAttempts,
 }
 
-/// Prepares a message of an earlier process for the engine. An attempt without an outcome may have run from the moment
-/// when it was started; the stored message says so from here on.
+/// Prepares a message of an earlier process for the engine. An attempt without a recorded outcome may have run at the
+/// endpoint since its start; `message` is updated to say so.
 pub fn recover(message: &mut LiveMessage, class: Option<&Class>) -> RecoveredSubmission {
     let open_attempt = message.open_attempt.take();
     message.may_have_run = message.may_have_run.or(open_attempt);
@@ -58,7 +59,7 @@
     };
     let request = SubmitRequest {
         client: 0,
-        idempotency_key: text(&message.id),
+        idempotency_key: utf8_lossy(&message.id),
         fingerprint: [0; 32],
         class: ClassId(message.class),
         destination: DestinationId(message.destination),
@@ -71,12 +72,12 @@
     RecoveredSubmission { request, attempts }
 }
 
-/// When the first attempt that may have run was sent, and in which zone; here or at a gateway instance that was lost.
+/// The start time and zone of the first attempt that may have run, sent by this gateway instance or by a lost one.
 fn first_possible_run(message: &LiveMessage, class: Option<&Class>) -> Option<(Time, Option<ZoneId>)> {
     let zone = |start: AttemptStart| Some(ZoneId(start.zone)).filter(|_| start.zone != UNKNOWN_INDEX);
     let known = message.may_have_run.map(|start| (Time(start.started_at), zone(start)));
     let Some(class) = class.filter(|_| message.from_lost_instance) else { return known };
-    // It may have run at the lost instance at any time since it was first submitted, in a zone that nobody knows.
+    // The lost instance may have sent it at any time since the first submission, to an unknown zone.
     let first_submitted = (Time(message.deadline) - class.deadline).min(Time(message.submitted_at));
     Some((known.map_or(first_submitted, |(at, _)| at.min(first_submitted)), None))
 }
@@ -87,14 +88,14 @@
         TerminalState::Undeliverable => NotificationStatus::Undeliverable,
         TerminalState::Deferred(retry_after_ms) => NotificationStatus::Deferred { retry_after_ms },
     };
-    Notification { message_id: text(&message.id), status, order_key: order_key(message) }
+    Notification { message_id: utf8_lossy(&message.id), status, order_key: order_key(message) }
 }
 
-/// The HTTP request that delivers a message to an endpoint, which may take `time_left` to answer.
+/// The HTTP request that delivers a message to an endpoint; the endpoint has `time_left` to respond.
 pub fn http_request(message: &LiveMessage, time_left: Duration) -> Vec<u8> {
-    let mut headers = Headers::new().with("Host", "partner").with("Req-Id", text(&message.id));
+    let mut headers = Headers::new().with("Host", "partner").with("Req-Id", utf8_lossy(&message.id));
     if let Some(key) = &message.idempotency_key {
-        headers.add("Idempotency-Key", text(key));
+        headers.add("Idempotency-Key", utf8_lossy(key));
     }
     headers.add("Req-Deadline", format!("{}m", time_left.as_millis().max(1)));
     cloverstile_http::request("POST", "/hook", &headers, &message.body)
--- a/crates/resp-gateway/src/message_record/tests.rs
+++ b/crates/resp-gateway/src/message_record/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of message records: what recovery makes of attempts without an outcome.
+//! Tests of the recovery of messages with attempts that have no recorded outcome.
 
 use super::recover;
 use cloverstile::{Class, Time, ZoneId};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn recovery_takes_an_open_attempt_as_possibly_run_unless_an_earlier_one_was() {
+fn recovery_treats_an_open_attempt_as_possibly_run_unless_an_earlier_one_may_have_run() {
     let recovered = |may_have_run: Option<u64>, open: Option<u64>| {
         let (may_have_run, open_attempt) = (may_have_run.map(started_at), open.map(started_at));
         let mut message = LiveMessage { may_have_run, open_attempt, ..stored_message() };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn recovery_counts_a_message_of_a_lost_instance_from_its_first_submission() {
+fn recovery_assumes_a_lost_instance_sent_the_message_at_its_first_submission() {
     let class = Class { deadline: Duration::from_secs(12), ..Class::default() };
     let mut message =
         LiveMessage { from_lost_instance: true, may_have_run: Some(started_at(101)), ..stored_message() };
--- a/crates/resp-gateway/src/name_table.rs
+++ b/crates/resp-gateway/src/name_table.rs
@@ -1,12 +1,12 @@
-//! Names of the settings' classes and zones as the log stores them, and the mapping of a stored message's indexes to
-//! the settings of this process. Free of I/O.
+//! Stores the names of the configured classes and zones in the log, and maps the indexes in a stored message to the
+//! settings of this process. Performs no I/O.
 
 use cloverstile::{Class, Effect};
 use cloverstile_platform::config::SettingNames;
 use cloverstile_wal::{ClassName, LiveMessage, NameTable, UNKNOWN_INDEX};
 use std::time::Duration;
 
-/// The log's code of an effect: not its position in the code, which may change.
+/// The code of an effect in the log. It is fixed, independent of the order of the enum's variants, which may change.
 fn effect_code(effect: Effect) -> u8 {
     match effect {
         Effect::Safe => 1,
@@ -15,9 +15,9 @@
     }
 }
 
-/// The class of messages whose own class is gone, or has become more lenient, since they were submitted: it has no
-/// name, stands behind all others, and no client can submit under it. Its latency objective and deadline are the
-/// longest of all, so that it changes no sum over classes.
+/// The class of messages whose own class was removed, or made more lenient, after they were submitted. It has no name,
+/// comes after all other classes, and no client can submit messages of it. Its latency objective and deadline are the
+/// longest of all classes, so that it does not change any total over the classes.
 pub fn fallback_class(classes: &[Class]) -> Class {
     let longest = |span: fn(&Class) -> Duration| classes.iter().map(span).max();
     let base = Class::default();
@@ -26,7 +26,7 @@
     Class { effect: Effect::Unsafe, ordered: true, latency_objective, deadline, ..base }
 }
 
-/// What indexes of classes and zones mean in this process; the last of `classes` is the [`fallback_class`].
+/// The names behind the class and zone indexes of this process. The last of `classes` must be the [`fallback_class`].
 pub fn name_table(names: &SettingNames, classes: &[Class]) -> NameTable {
     let class_names = names.classes.iter().map(String::as_str).chain([""]);
     let named = class_names.zip(classes);
@@ -38,11 +38,11 @@
     NameTable { classes, zones: names.zones.clone() }
 }
 
-/// Changes a message's indexes from what they meant when it was stored to what they mean now.
+/// Translates a message's class and zone indexes from the `stored` name table to the `current` one.
 ///
-/// Guards against settings that changed between two processes: a message that may not be repeated could come under
-/// another effect, by its index alone or because its class has another effect now; and one whose class is gone would
-/// end without an attempt.
+/// Settings may change between two processes. Without the translation, a message that must not be repeated could get
+/// another effect, because its index now means another class or because its class has another effect; and a message whose
+/// class was removed would fail without an attempt.
 pub fn remap(message: &mut LiveMessage, stored: &NameTable, current: &NameTable) {
     message.class = u8::try_from(remapped_class(message.class, stored, current)).unwrap_or(u8::MAX);
     for start in [&mut message.may_have_run, &mut message.open_attempt].into_iter().flatten() {
@@ -52,12 +52,12 @@
     }
 }
 
-/// The index that a stored class has now; that of the fallback class where it is gone or has become more lenient.
+/// The current index of a stored class, or that of the fallback class if the class was removed or made more lenient.
 fn remapped_class(class: u8, stored: &NameTable, current: &NameTable) -> usize {
     let fallback = current.classes.len().saturating_sub(1);
     let index = usize::from(class);
     let Some(ClassName { name, effect: stored_effect }) = stored.classes.get(index) else {
-        // A log written before names were stored.
+        // The log was written by a version that did not store names.
         return index.min(fallback);
     };
     let is_as_strict = |index: &usize| {
--- a/crates/resp-gateway/src/name_table/tests.rs
+++ b/crates/resp-gateway/src/name_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of stored names: messages keep their class and zone, or come under the strictest class, as settings change.
+//! Tests of stored names: when settings change, messages keep their class and zone or get the fallback class.
 
 use super::{fallback_class, name_table, remap};
 use cloverstile::{Class, Effect};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn remap_finds_classes_and_zones_by_name_and_uses_the_fallback_class_for_more_lenient_ones() {
+fn remap_finds_classes_and_zones_by_name_and_uses_the_fallback_class_for_removed_or_more_lenient_ones() {
     use Effect::{Keyed, Safe, Unsafe};
     let stored = table(
         &[("notice", Keyed), ("payment", Unsafe), ("gone", Safe), ("eased", Unsafe), ("tightened", Keyed)],
@@ -33,15 +33,19 @@
         (message.class, message.open_attempt.unwrap().zone)
     };
     let all: Vec<u8> = (0..6).map(|class| after(class, 0).0).collect();
-    assert_eq!(all, [2, 0, 4, 4, 3, 4], "the last one has no name in both");
+    assert_eq!(
+        all,
+        [2, 0, 4, 4, 3, 4],
+        "the last index is the fallback class, without a name in both tables"
+    );
     assert_eq!([after(0, 0).1, after(0, 1).1, after(0, UNKNOWN_INDEX).1], [UNKNOWN_INDEX, 0, UNKNOWN_INDEX]);
     let mut old = LiveMessage { class: 1, ..LiveMessage::default() };
     remap(&mut old, &NameTable::default(), &current);
-    assert_eq!(old.class, 1, "a log written before names were stored");
+    assert_eq!(old.class, 1, "the log was written before names were stored");
 }
 
 #[test]
-fn fallback_class_is_the_strictest_and_changes_no_sum_over_classes() {
+fn fallback_class_has_the_strictest_effect_and_the_longest_times() {
     let short = Class { latency_objective: Duration::from_millis(300), ..Class::default() };
     let long = Class { deadline: Duration::from_secs(99), ..Class::default() };
     let fallback = fallback_class(&[short.clone(), long.clone()]);
--- a/crates/resp-gateway/src/outgoing_requests.rs
+++ b/crates/resp-gateway/src/outgoing_requests.rs
@@ -1,9 +1,10 @@
 //! Requests to endpoints, from the engine's decision to the last byte.
 //!
-//! A request waits until the platform has acknowledged the notifications of its order key, gets a connection, is checked
-//! once more, sends all but its last byte, is checked again, and sends the last byte once the log has its start.
+//! A request waits until the platform has acknowledged the notifications of its order key, and then gets a connection. It
+//! is checked again before all but its last byte is sent, and once more before its start is recorded. The last byte is
+//! sent once the start is in the log, if the request may still be sent then.
 
-use crate::delivery::Delivery;
+use crate::delivery::DeliveryState;
 use crate::message_record;
 use crate::sockets::Sockets;
 use cloverstile::{EndpointId, Time};
@@ -14,7 +15,7 @@
 use cloverstile_wal::{AttemptStart, Record, UNKNOWN_INDEX};
 use tracing::debug;
 
-/// An attempt that the engine decided on, without a connection so far.
+/// An attempt that the engine has decided on and that has no connection yet.
 struct PlannedRequest {
     attempt: Attempt,
     endpoint: EndpointId,
@@ -24,26 +25,26 @@
 pub struct OutgoingRequests {
     /// Requests with a connection, and idle connections.
     pub requests: Requests,
-    /// Requests that wait for a notification of their order key.
+    /// Requests that wait until a notification of their order key is acknowledged.
     awaiting_notification: Vec<PlannedRequest>,
-    /// Attempts whose start is among this turn's records; their last bytes leave once these are in the log.
+    /// Attempts whose start is among this turn's records. Their last bytes are sent once the records are in the log.
     uncommitted: Vec<Attempt>,
 }
 
 impl OutgoingRequests {
-    /// No requests yet.
+    /// Creates the state without any request.
     pub fn new(limits: ConnectionLimits) -> Self {
         let requests = Requests::new(limits);
         OutgoingRequests { requests, awaiting_notification: Vec::new(), uncommitted: Vec::new() }
     }
 
-    /// Takes on attempts that the engine decided on.
+    /// Schedules attempts that the engine has decided on.
     pub fn schedule(
         &mut self,
         now: Time,
         endpoint: EndpointId,
         attempts: Vec<Attempt>,
-        delivery: &mut Delivery,
+        delivery: &mut DeliveryState,
         sockets: &mut Sockets<'_>,
     ) {
         for attempt in attempts {
@@ -53,9 +54,9 @@
         self.connect_unblocked(now, delivery, sockets);
     }
 
-    /// Gets connections for requests whose order key has no notification pending: until the platform has acknowledged
-    /// it, the key's previous message is not completed.
-    pub fn connect_unblocked(&mut self, now: Time, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    /// Gets connections for requests whose order key has no notification pending. Until the platform has acknowledged the
+    /// notification, the previous message of the key is not completed.
+    pub fn connect_unblocked(&mut self, now: Time, delivery: &mut DeliveryState, sockets: &mut Sockets<'_>) {
         for planned in std::mem::take(&mut self.awaiting_notification) {
             let PlannedRequest { attempt, endpoint } = planned;
             let Some(message) = delivery.log.message(attempt.message) else { continue };
@@ -75,15 +76,15 @@
         }
     }
 
-    /// Reports to the engine which endpoints asked to wait.
+    /// Reports to the engine which endpoints have sent `Retry-After`.
     pub fn report_retry_after(&mut self, now: Time, engine: &mut Engine) {
         for RetryAfter { endpoint, delay } in self.requests.take_retry_after() {
             engine.on_retry_after(now, endpoint, delay);
         }
     }
 
-    /// Records attempts that ended and reports them to the engine.
-    pub fn report_completed(&mut self, now: Time, delivery: &mut Delivery) {
+    /// Records completed attempts and reports them to the engine.
+    pub fn report_completed(&mut self, now: Time, delivery: &mut DeliveryState) {
         for completed in self.requests.take_completed() {
             trace_completed(now, &completed, delivery);
             let CompletedAttempt { attempt, result } = completed;
@@ -96,7 +97,7 @@
     }
 
     /// Sends all but the last byte of requests whose connection is established.
-    pub fn send_connected(&mut self, now: Time, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    pub fn send_connected(&mut self, now: Time, delivery: &mut DeliveryState, sockets: &mut Sockets<'_>) {
         for attempt in self.requests.take_connected() {
             let deadline = delivery.engine.attempt_deadline(attempt);
             if self.abort_if_obsolete(now, attempt, delivery, sockets) {
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Records the start of requests whose last byte is due.
-    pub fn record_starts(&mut self, now: Time, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    /// Records the start of requests that only have their last byte left to send.
+    pub fn record_starts(&mut self, now: Time, delivery: &mut DeliveryState, sockets: &mut Sockets<'_>) {
         for attempt in self.requests.take_ready_to_commit() {
             if self.abort_if_obsolete(now, attempt, delivery, sockets) {
                 continue;
@@ -136,15 +137,17 @@
         }
     }
 
-    /// Checks once more whether an attempt may be sent, and aborts it if not. Guards against what happened since it was
-    /// decided on, while its connection was being established or a notification of its key was pending: a `Retry-After`,
-    /// a drain, another address, an outage, the end of its repeat window or its deadline, a shutdown (fleet day join,
-    /// seed 2: 0.74 s for a connection, and inside them a wait of 0.67 s).
+    /// Checks again whether an attempt may be sent, aborts it if not, and returns whether it was aborted.
+    ///
+    /// Conditions may have changed since the engine decided, while the connection was being established or a notification
+    /// of the order key was pending: a `Retry-After`, a drain, a new address, an outage, the end of the retry window, the
+    /// deadline, or a shutdown (incident fleet day join, seed 2: a connection took 0.74 s to establish, and a `Retry-After`
+    /// of 0.67 s fell within that time).
     fn abort_if_obsolete(
         &mut self,
         now: Time,
         attempt: Attempt,
-        delivery: &mut Delivery,
+        delivery: &mut DeliveryState,
         sockets: &mut Sockets<'_>,
     ) -> bool {
         let endpoints = &delivery.endpoints;
@@ -163,9 +166,9 @@
         true
     }
 
-    /// Sends the last bytes of the requests whose start is in the log now. `now` is the time behind the write, which may
-    /// have taken long: what may not be sent any more is withdrawn.
-    pub fn commit(&mut self, now: Time, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    /// Sends the last bytes of the requests whose start is now in the log. `now` is the time after the log write, which may
+    /// have taken long: requests that may no longer be sent are withdrawn.
+    pub fn commit(&mut self, now: Time, delivery: &mut DeliveryState, sockets: &mut Sockets<'_>) {
         for attempt in std::mem::take(&mut self.uncommitted) {
             if delivery.engine.may_send_now(now, attempt) {
                 delivery.engine.set_attempt_started(attempt, true);
@@ -176,15 +179,26 @@
         }
     }
 
-    /// Takes back the requests whose start could not be logged.
-    pub fn withdraw_uncommitted(&mut self, now: Time, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    /// Withdraws the requests whose start could not be logged.
+    pub fn withdraw_uncommitted(
+        &mut self,
+        now: Time,
+        delivery: &mut DeliveryState,
+        sockets: &mut Sockets<'_>,
+    ) {
         for attempt in std::mem::take(&mut self.uncommitted) {
             self.withdraw(now, attempt, delivery, sockets);
         }
     }
 
-    /// Takes back a request whose last byte has not left: it uses no attempt.
-    fn withdraw(&mut self, now: Time, attempt: Attempt, delivery: &mut Delivery, sockets: &mut Sockets<'_>) {
+    /// Withdraws a request whose last byte has not been sent; it does not count as an attempt.
+    fn withdraw(
+        &mut self,
+        now: Time,
+        attempt: Attempt,
+        delivery: &mut DeliveryState,
+        sockets: &mut Sockets<'_>,
+    ) {
         let message_number = attempt.message.0;
         debug!(
             client_id = %delivery.log.client_id(attempt.message),
@@ -196,13 +210,13 @@
         self.requests.abort_before_send(now, attempt, false, sockets);
     }
 
-    /// Abandons an attempt that nobody waits for any longer; `started` tells whether it may have run.
+    /// Abandons an attempt whose response is no longer awaited; `started` is whether it may have run.
     pub fn abandon(
         &mut self,
         now: Time,
         attempt: Attempt,
         started: bool,
-        delivery: &mut Delivery,
+        delivery: &mut DeliveryState,
         sockets: &mut Sockets<'_>,
     ) {
         debug!(
@@ -220,7 +234,7 @@
     }
 }
 
-fn trace_completed(now: Time, completed: &CompletedAttempt, delivery: &Delivery) {
+fn trace_completed(now: Time, completed: &CompletedAttempt, delivery: &DeliveryState) {
     let CompletedAttempt { attempt, result } = completed;
     let Some(message) = delivery.log.message(attempt.message) else { return };
     let elapsed_ms =
--- a/crates/resp-gateway/src/recovery.rs
+++ b/crates/resp-gateway/src/recovery.rs
@@ -1,6 +1,6 @@
-//! Messages that an earlier process held.
+//! Recovers the messages that an earlier process held.
 
-use crate::delivery::Delivery;
+use crate::delivery::DeliveryState;
 use crate::message_record::{self, RecoveredSubmission};
 use crate::name_table;
 use cloverstile::{Class, Time};
@@ -10,14 +10,15 @@
 use cloverstile_wal::{LiveMessage, NameTable, Record, Recovered};
 use tracing::debug;
 
-/// Takes over what the log held, and records it anew under numbers of this process. `names` are those of this process's
-/// settings, `classes` its classes with the fallback class behind them.
+/// Passes the messages from the log to the engine and the notifications, and records them again under the message numbers
+/// of this process. `names` is the name table of this process's settings; `classes` are its classes, with the fallback
+/// class last.
 pub fn recover_messages(
     now: Time,
     recovered: Recovered,
     names: &NameTable,
     classes: &[Class],
-    delivery: &mut Delivery,
+    delivery: &mut DeliveryState,
 ) {
     delivery.log.record(Record::NameTable(names.clone()));
     let messages = recovered.messages;
@@ -38,10 +39,10 @@
     index: usize,
     mut message: LiveMessage,
     classes: &[Class],
-    delivery: &mut Delivery,
+    delivery: &mut DeliveryState,
 ) {
     if let Some(state) = message.pending_notification {
-        // Numbers from the far end: those of the engine begin at one.
+        // Numbered down from the maximum, because the engine numbers messages upwards from one.
         let message_number = u32::MAX - u32::try_from(index).unwrap_or(0);
         let notification = message_record::notification(&message, state);
         delivery.notifications.enqueue(message_number, notification, Release::AtOnce);
--- a/crates/resp-gateway/src/shutdown.rs
+++ b/crates/resp-gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The gateway's way from a shutdown signal to its end.
+//! The states of the gateway from serving clients, through a shutdown signal, to the end of the process.
 
 #[cfg(feature = "planted-defects")]
 use crate::configuration::ConfigurationFile;
@@ -11,35 +11,35 @@
 use std::ops::ControlFlow;
 use tracing::info;
 
-/// How far the gateway is from its end.
+/// State of the gateway on its way to the end of the process.
 #[derive(Clone, Copy)]
 pub enum RunState {
-    /// It accepts clients.
+    /// Accepting clients; no shutdown was requested.
     Serving {
-        /// Where they connect.
+        /// The socket on which clients connect.
         listener: ListenerId,
     },
-    /// It was asked to shut down, and still accepts clients for a moment.
+    /// A shutdown was requested; clients are still accepted for a short period.
     ShutdownRequested {
-        /// Where they connect.
+        /// The socket on which clients connect.
         listener: ListenerId,
-        /// Since when.
+        /// The shutdown that was requested.
         shutdown: GracefulShutdown,
     },
-    /// It no longer listens, disconnects clients between their requests and delivers what it may.
+    /// Not listening any more: clients are disconnected between their requests, and messages are still delivered.
     Draining {
-        /// Since when it was asked to shut down.
+        /// The shutdown that was requested.
         shutdown: GracefulShutdown,
     },
-    /// It only waits for clients to read their last replies and close.
+    /// Waiting for clients to read their last replies and close, and for the log to store all records.
     FinalFlush {
-        /// When it ends at the latest.
+        /// The time at which the process ends at the latest.
         until: Time,
     },
 }
 
 impl RunState {
-    /// A shutdown signal arrived; false where an earlier one did already.
+    /// Handles a shutdown signal. Returns false if a shutdown was already requested.
     pub fn request_shutdown(&mut self, now: Time) -> bool {
         #[cfg(feature = "planted-defects")]
         if is_planted(PlantedDefect::ShutdownClock) {
@@ -52,9 +52,9 @@
         true
     }
 
-    /// Listens anew in a shutdown.
+    /// Planted defect: listens again during a shutdown.
     #[cfg(feature = "planted-defects")]
-    pub fn listen_anew(&mut self, net: &mut Net, configuration: &ConfigurationFile) {
+    pub fn listen_again(&mut self, net: &mut Net, configuration: &ConfigurationFile) {
         let RunState::Draining { .. } = self else { return };
         let address = configuration.listen_address().filter(|_| is_planted(PlantedDefect::ReloadListens));
         if let Some((listener, _)) = address.and_then(|address| net.listen(address).ok()) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// When [`RunState::advance`] has something to do next.
+    /// The time at which [`RunState::advance`] is next due.
     pub fn next_timeout(&self, now: Time) -> Option<Time> {
         match self {
             RunState::Serving { .. } => None,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Goes on with a shutdown; breaks once the process should end.
+    /// Advances a shutdown to its current phase; breaks once the process should end.
     pub fn advance(&mut self, now: Time, pipeline: &mut MessagePipeline, net: &mut Net) -> ControlFlow<()> {
         match *self {
             RunState::Serving { .. } => ControlFlow::Continue(()),
@@ -102,25 +102,26 @@
     }
 }
 
-/// Whether clients have read their last replies, and the log has every outcome.
+/// Whether clients have read their last replies and all records are stored in the log.
 fn is_flushed(pipeline: &MessagePipeline, net: &Net) -> bool {
     net.lingering_count() == 0 && pipeline.delivery.log.is_stored()
 }
 
-fn break_if(is_over: bool) -> ControlFlow<()> {
-    if is_over {
+fn break_if(condition: bool) -> ControlFlow<()> {
+    if condition {
         ControlFlow::Break(())
     } else {
         ControlFlow::Continue(())
     }
 }
 
-/// Guards against clients that are disconnected with a request in the system's buffers: those that the system took for
-/// us are accepted, and all are read once more, before anyone is disconnected.
+/// Stops listening. Connections that the kernel has already established are accepted, and all clients are read once more
+/// before any of them is disconnected; otherwise a client could be disconnected while its request is in the kernel's
+/// buffers.
 fn stop_listening(listener: ListenerId, pipeline: &mut MessagePipeline, net: &mut Net) {
     info!(pending = ?pipeline.pending_work(net), "listener closed");
     net.stop_listening(listener);
-    // No client connects any more: all that are disconnected now may be read from until they have their replies.
+    // No new client can connect, so every client that is disconnected from now on may linger until it has read its replies.
     net.set_max_lingering(usize::MAX);
     net.waker().wake();
 }
--- a/crates/resp-gateway/src/sockets.rs
+++ b/crates/resp-gateway/src/sockets.rs
@@ -1,20 +1,20 @@
-//! [`Transport`] of the platform's state machines on TCP sockets.
+//! Implements the [`Transport`] of the platform's state machines on TCP sockets.
 
 use cloverstile_net::{ConnId, Net};
 use cloverstile_platform::{ConnectionId, Transport};
 use std::net::SocketAddr;
 
-/// The id by which the platform's state machines know a connection of the event loop.
+/// Converts the event loop's id of a connection to that of the platform's state machines.
 pub fn connection_id(socket: ConnId) -> ConnectionId {
     ConnectionId(socket.0)
 }
 
-/// The id by which the event loop knows a connection of the platform's state machines.
+/// Converts the id of a connection in the platform's state machines to that of the event loop.
 pub fn socket_id(connection: ConnectionId) -> ConnId {
     ConnId(connection.0)
 }
 
-/// The event loop's connections, as the platform's state machines use them.
+/// The connections of the event loop, through which the platform's state machines send.
 pub struct Sockets<'a>(pub &'a mut Net);
 
 impl Transport for Sockets<'_> {
--- a/crates/resp-gateway/src/sockets/tests.rs
+++ b/crates/resp-gateway/src/sockets/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform's requests on real sockets.
+//! Tests of the platform's request state machine on real sockets.
 
 use super::Sockets;
 use cloverstile::{EndpointId, MessageId, Time};
@@ -13,11 +13,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// An endpoint rejects a request that is not complete yet and resets the connection, both between a poll of the sockets
-/// and the request's last byte. Guards against a `Retry-After` that is lost with the byte that met the reset.
+/// An endpoint rejects an incomplete request and resets the connection, both after the last poll and before the last byte
+/// of the request is sent. The write of that byte fails, and the `Retry-After` received before must not be lost with it.
 #[test]
-fn requests_keep_retry_after_that_precedes_a_reset_met_by_the_last_byte() {
-    let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
+fn requests_keep_a_retry_after_received_before_a_reset_that_fails_the_last_byte() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut net = Net::new().unwrap();
     let limits = ConnectionLimits {
         connect_timeout: SECOND,
@@ -26,9 +26,9 @@
         report_fields: LoadReportFields::default(),
     };
     let (mut requests, now) = (Requests::new(limits), Time::ZERO + SECOND);
-    let (attempt, to) = (Attempt { message: MessageId(1), number: 0 }, EndpointId(1));
-    requests.connect(now, attempt, to, endpoint.local_addr().unwrap(), &mut Sockets(&mut net));
-    let (mut stream, _) = endpoint.accept().unwrap();
+    let (attempt, endpoint) = (Attempt { message: MessageId(1), number: 0 }, EndpointId(1));
+    requests.connect(now, attempt, endpoint, listener.local_addr().unwrap(), &mut Sockets(&mut net));
+    let (mut stream, _) = listener.accept().unwrap();
     while requests.take_connected().is_empty() {
         for event in net.poll(Some(SECOND)).unwrap() {
             if let NetEvent::Connected(connection) = event {
@@ -47,7 +47,7 @@
     stream.write_all(b"HTTP/1.1 429 Wait\r\nRetry-After: 2.5\r\nContent-Length: 0\r\n\r\n").unwrap();
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
     drop(stream);
-    // The sockets are not polled in between.
+    // The sockets are not polled between the reset and the last byte.
     requests.on_tick(now + SECOND, &mut Sockets(&mut net));
     assert_eq!(requests.take_ready_to_commit(), [attempt]);
     requests.commit(attempt, &mut Sockets(&mut net));
@@ -65,8 +65,8 @@
             }
         }
     }
-    let wait = Duration::from_millis(2500);
-    assert_eq!(requests.take_retry_after(), [RetryAfter { endpoint: to, delay: wait }]);
-    let result = TransportOutcome::Rejected(Some(wait)).into();
+    let retry_after = Duration::from_millis(2500);
+    assert_eq!(requests.take_retry_after(), [RetryAfter { endpoint, delay: retry_after }]);
+    let result = TransportOutcome::Rejected(Some(retry_after)).into();
     assert_eq!(requests.take_completed(), [CompletedAttempt { attempt, result }]);
 }
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -1,9 +1,9 @@
-//! The gateway's start: it recovers what an earlier process held, and then listens.
+//! Startup: recovers the messages that an earlier process held, then listens for clients.
 
 use crate::client_commands::ClientCommands;
 use crate::clock::Clock;
 use crate::configuration::{load, ConfigurationFile};
-use crate::delivery::Delivery;
+use crate::delivery::DeliveryState;
 use crate::descriptor_limits::DescriptorLimits;
 use crate::endpoint_discovery::EndpointDiscovery;
 use crate::environment::Environment;
@@ -32,21 +32,21 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Final outcomes that are kept for resubmissions: for longer than a client takes to submit again.
+/// Final outcomes kept to answer resubmissions, for longer than a client takes to submit a message again.
 const RESULT_CACHE: ResultCacheLimits =
     ResultCacheLimits { max_results: 4096, retention: Duration::from_secs(2) };
-/// Gap between two tries to read the log.
+/// Delay between two attempts to read the log.
 const LOG_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often, and at what gaps, other operations of the start are tried again: for two seconds.
+/// Number of retries, and the delay between them, for other startup operations: two seconds in total.
 const MAX_START_RETRIES: u32 = 40;
 const START_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Bytes in a megabyte of the configuration's disk limit.
+/// Bytes per megabyte of the disk limit in the configuration.
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Runs a gateway until a shutdown signal, and then until the shutdown is complete.
+/// Runs a gateway until a shutdown signal arrives and the shutdown is complete.
 ///
 /// # Errors
-/// A configuration that is not valid, or an operation of the system that failed.
+/// The configuration cannot be read or is invalid, or a system operation failed.
 pub fn run(environment: &Environment) -> Result<(), GatewayError> {
     let config = load(&environment.config_path)?;
     match Gateway::start(config, environment)? {
@@ -56,10 +56,11 @@
 }
 
 impl Gateway {
-    /// Recovers what an earlier process held, and listens; none where a shutdown signal came before the log could be read.
+    /// Recovers the messages that an earlier process held, then listens. Returns `None` if a shutdown signal arrives before
+    /// the log can be read.
     ///
     /// # Errors
-    /// An operation of the system that failed: the event loop, the listening address.
+    /// A system operation failed: setting up the event loop or the signals, or listening on the configured address.
     pub fn start(config: Config, environment: &Environment) -> Result<Option<Gateway>, GatewayError> {
         let descriptors = DescriptorLimits::new(config.limits.sockets);
         let mut net = open_event_loop(descriptors)?;
@@ -75,7 +76,7 @@
         let is_restart = recovered.clock.is_some() || recovered_messages > 0;
         let mut clock = Clock::new();
         if recovered.clock.is_some_and(|reference| !clock.resume(&reference)) {
-            warn!("the log is of another boot: the wall clock tells how much time has passed since");
+            warn!("the log was written before a reboot, the elapsed time is taken from the wall clock");
         }
         let now = clock.now();
         let wall_clock_ahead_ms = clock.wall_clock_ahead_ms();
@@ -98,8 +99,8 @@
         recover_messages(now, recovered, &names, &settings.classes, &mut pipeline.delivery);
         pipeline.run_turn(now, &clock, &mut net);
 
-        let (listener, address) = persistently(|| net.listen(config.listen))
-            .map_err(GatewayError::failed_to(format!("listen on {}", config.listen)))?;
+        let (listener, address) = with_startup_retries(|| net.listen(config.listen))
+            .map_err(GatewayError::io_error(format!("listen on {}", config.listen)))?;
         net.set_half_open(listener);
         info!(name = %config.name, %address, recovered_messages, wall_clock_ahead_ms, "ready");
         let configuration = ConfigurationFile::new(environment.config_path.clone());
@@ -108,8 +109,8 @@
     }
 }
 
-/// Opens the log, as often as it takes: without what an earlier process was given nothing can be served. None where a
-/// shutdown signal came first.
+/// Opens the log and retries until it succeeds: nothing can be served without the messages that an earlier process
+/// accepted. Returns `None` if a shutdown signal arrives first.
 fn open_log(
     directory: &Path,
     max_bytes: u64,
@@ -120,7 +121,7 @@
             Ok(opened) => return Ok(Some(opened)),
             Err(error) => warn!(directory = %directory.display(), %error, "log can't be read, tried again"),
         }
-        let events = net.poll(Some(LOG_RETRY_DELAY)).map_err(GatewayError::failed_to("event loop"))?;
+        let events = net.poll(Some(LOG_RETRY_DELAY)).map_err(GatewayError::io_error("event loop"))?;
         let is_shutdown =
             |event: &NetEvent| matches!(event, NetEvent::Signal(signal) if *signal != SignalKind::SIGHUP);
         if events.iter().any(is_shutdown) {
@@ -130,9 +131,9 @@
     }
 }
 
-/// Tries an operation of the start again while it fails, for a time: the system may be short of descriptors or buffers, or
-/// still hold the address of the process before.
-fn persistently<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Retries a startup operation up to [`MAX_START_RETRIES`] times: the system may be short of descriptors or buffers, or the
+/// address of the previous process may still be in use.
+fn with_startup_retries<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 0..MAX_START_RETRIES {
         match operation() {
             Ok(value) => return Ok(value),
@@ -144,9 +145,9 @@
 }
 
 fn open_event_loop(descriptors: DescriptorLimits) -> Result<Net, GatewayError> {
-    let mut net = persistently(Net::new).map_err(GatewayError::failed_to("event loop"))?;
+    let mut net = with_startup_retries(Net::new).map_err(GatewayError::io_error("event loop"))?;
     let signals = [SignalKind::SIGTERM, SignalKind::SIGINT, SignalKind::SIGHUP];
-    persistently(|| net.watch_signals(&signals)).map_err(GatewayError::failed_to("signals"))?;
+    with_startup_retries(|| net.watch_signals(&signals)).map_err(GatewayError::io_error("signals"))?;
     net.set_max_lingering(descriptors.lingering);
     Ok(net)
 }
@@ -161,7 +162,7 @@
     let class_names = config.names.classes.clone();
     MessagePipeline {
         clients: ClientCommands::new(descriptors.clients, settings.classes.clone(), class_names),
-        delivery: Delivery {
+        delivery: DeliveryState {
             engine: Engine::new(settings.clone(), RESULT_CACHE, seed),
             log,
             endpoints: EndpointList::default(),
