--- a/crates/as2-gateway/src/as2_server/connections.rs
+++ b/crates/as2-gateway/src/as2_server/connections.rs
@@ -104,13 +104,13 @@
             let connection = self.connections.get_mut(&id)?;
             // Guards against a client that sends requests and never reads: its responses would pile up here.
             if context.net.unsent_bytes(id) > MAX_UNREAD_BYTES {
-                context.net.pause(id, true);
+                context.net.set_read_paused(id, true);
                 return None;
             }
             if connection.current_request.is_some() {
                 // What comes behind a request that is being processed waits in the peer's own buffers.
                 let paused = connection.decoder.buffered_bytes() > context.config.listener.max_head_bytes;
-                context.net.pause(id, paused);
+                context.net.set_read_paused(id, paused);
                 return None;
             }
             match connection.decoder.next(now) {
@@ -123,7 +123,7 @@
                 }
                 Ok(Some(Item::ExpectsContinue)) => context.net.send(id, CONTINUE),
                 Ok(None) => {
-                    context.net.pause(id, false);
+                    context.net.set_read_paused(id, false);
                     self.set_deadline(context, id);
                     return None;
                 }
--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -250,7 +250,7 @@
             NetEvent::Closed { conn, .. } if self.server.owns(conn) => self.server.on_closed(context, conn),
             NetEvent::Closed { conn, .. } => self.client.on_closed(context, conn),
             NetEvent::Flushed(conn) if self.server.owns(conn) => self.server.on_flushed(context, conn),
-            NetEvent::PeerFinished(_) | NetEvent::Flushed(_) | NetEvent::Woken => {}
+            NetEvent::PeerHalfClosed(_) | NetEvent::Flushed(_) | NetEvent::Woken => {}
         }
         LoopControl::Continue
     }
--- a/crates/fakes/src/client/connections.rs
+++ b/crates/fakes/src/client/connections.rs
@@ -133,7 +133,7 @@
                 self.on_incoming_bytes(id, &bytes, now)
             }
             NetEvent::Bytes(id, bytes) => self.on_response_bytes(id, &bytes, now).into_iter().collect(),
-            NetEvent::PeerFinished(_) | NetEvent::Signal(_) | NetEvent::Woken => Vec::new(),
+            NetEvent::PeerHalfClosed(_) | NetEvent::Signal(_) | NetEvent::Woken => Vec::new(),
         }
     }
 
--- a/crates/fakes/src/partner/server.rs
+++ b/crates/fakes/src/partner/server.rs
@@ -255,7 +255,7 @@
             NetEvent::ConnectFailed(id, _) => {
                 self.outbound.remove(&id);
             }
-            NetEvent::PeerFinished(_) | NetEvent::Flushed(_) | NetEvent::Signal(_) | NetEvent::Woken => {}
+            NetEvent::PeerHalfClosed(_) | NetEvent::Flushed(_) | NetEvent::Signal(_) | NetEvent::Woken => {}
         }
     }
 
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -84,7 +84,7 @@
     /// Whether it is read from.
     pub read_state: ReadState,
     /// It stays open for writing when its peer ends its sending.
-    pub half_open: bool,
+    pub allow_half_open: bool,
     /// Small writes may be held back by the system, which could not be told otherwise so far.
     may_delay_writes: bool,
     /// Its owner has closed it: it ends once all queued bytes are written.
@@ -106,7 +106,7 @@
             token,
             state,
             read_state: ReadState::Active,
-            half_open: false,
+            allow_half_open: false,
             may_delay_writes: true,
             close_after_flush: false,
             output: OutputBuffer::default(),
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -31,7 +31,7 @@
     Flushed(ConnId),
     /// The peer has ended its sending and may still read; only on connections of a listener that is half-open. Its owner
     /// closes the connection once it has replied.
-    PeerFinished(ConnId),
+    PeerHalfClosed(ConnId),
     /// The peer closed, or the connection broke; its id is no longer valid.
     Closed {
         /// The connection.
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -21,7 +21,7 @@
     /// Out of descriptors: not watched until one may be free.
     pub paused: bool,
     /// Its connections stay open for writing when their peers end their sending.
-    pub half_open: bool,
+    pub allow_half_open: bool,
     /// It ends once the connections that the system has taken are accepted.
     pub closing: bool,
 }
--- a/crates/net/src/listening.rs
+++ b/crates/net/src/listening.rs
@@ -42,16 +42,16 @@
             Ok(PostAction::Continue)
         };
         let token = self.handle.insert_source(source, on_ready).map_err(other)?;
-        let listener = Listener { socket, token, paused: false, half_open: false, closing: false };
+        let listener = Listener { socket, token, paused: false, allow_half_open: false, closing: false };
         self.listeners.insert(id, listener);
         Ok((id, bound))
     }
 
     /// Connections that a listener accepts from here on stay open for writing when their peers end their sending, which
-    /// is reported as [`NetEvent::PeerFinished`]: a client may wait for its reply behind the end of its requests.
-    pub fn set_half_open(&mut self, id: ListenerId) {
+    /// is reported as [`NetEvent::PeerHalfClosed`]: a client may wait for its reply behind the end of its requests.
+    pub fn allow_half_open(&mut self, id: ListenerId) {
         if let Some(listener) = self.listeners.get_mut(&id) {
-            listener.half_open = true;
+            listener.allow_half_open = true;
         }
     }
 
@@ -135,9 +135,9 @@
 
     /// An accepted connection is registered.
     pub(crate) fn on_accepted(&mut self, id: ConnId, listener: ListenerId) {
-        let half_open = self.listeners.get(&listener).is_some_and(|listener| listener.half_open);
+        let allow_half_open = self.listeners.get(&listener).is_some_and(|listener| listener.allow_half_open);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.half_open = half_open;
+            connection.allow_half_open = allow_half_open;
         }
         self.pending.push(NetEvent::Accepted { listener, conn: id });
     }
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -128,7 +128,7 @@
     }
 
     /// Stops or resumes reading from a connection.
-    pub fn pause(&mut self, id: ConnId, paused: bool) {
+    pub fn set_read_paused(&mut self, id: ConnId, paused: bool) {
         let wanted = if paused { ReadState::Paused } else { ReadState::Active };
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.read_state != wanted && connection.read_state != ReadState::Ended {
@@ -263,20 +263,20 @@
 
     fn read(&mut self, id: ConnId) {
         match self.read_bytes(id) {
-            Some(StreamEnd::Orderly) if self.is_half_open(id) => self.on_peer_finished(id),
+            Some(StreamEnd::Orderly) if self.allows_half_open(id) => self.on_peer_finished(id),
             Some(end) => self.on_ended(id, end),
             None => {}
         }
     }
 
-    fn is_half_open(&self, id: ConnId) -> bool {
-        self.connections.get(&id).is_some_and(|connection| connection.half_open)
+    fn allows_half_open(&self, id: ConnId) -> bool {
+        self.connections.get(&id).is_some_and(|connection| connection.allow_half_open)
     }
 
     fn on_peer_finished(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.read_state = ReadState::Ended;
-        self.pending.push(NetEvent::PeerFinished(id));
+        self.pending.push(NetEvent::PeerHalfClosed(id));
         self.update_interest(id);
     }
 
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -54,11 +54,11 @@
 fn paused_reader_leaves_bytes_unsent_at_the_writer() {
     let mut net = Net::new().unwrap();
     let (client, server) = pair(&mut net);
-    net.pause(server, true);
+    net.set_read_paused(server, true);
     net.send(client, &vec![7; 64 << 20]);
     while !net.poll(Some(Duration::from_millis(50))).unwrap().is_empty() {}
     assert!(net.unsent_bytes(client) > 16 << 20);
-    net.pause(server, false);
+    net.set_read_paused(server, false);
     poll_until(&mut net, |event| matches!(event, NetEvent::Flushed(conn) if conn == client).then_some(()));
 }
 
@@ -93,7 +93,7 @@
         NetEvent::Accepted { conn, .. } => Some(conn),
         _ => None,
     });
-    net.pause(server, true);
+    net.set_read_paused(server, true);
     client.write_all(b"one more request").unwrap();
     net.send(server, b"+OK\r\n");
     net.close_after_flush(server);
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -91,7 +91,7 @@
             }
             NetEvent::Connected(conn) => self.on_connected(now, connection_id(conn)),
             NetEvent::ConnectFailed(conn, _) => self.on_closed(now, connection_id(conn), false),
-            NetEvent::PeerFinished(conn) => self.pipeline.clients.on_peer_finished(connection_id(conn)),
+            NetEvent::PeerHalfClosed(conn) => self.pipeline.clients.on_peer_finished(connection_id(conn)),
             NetEvent::Closed { conn, clean } => self.on_closed(now, connection_id(conn), clean),
             NetEvent::Flushed(conn) => self.pipeline.outgoing.requests.on_flushed(connection_id(conn)),
             NetEvent::Bytes(conn, bytes) => self.on_bytes(now, connection_id(conn), &bytes),
--- a/crates/resp-gateway/src/shutdown.rs
+++ b/crates/resp-gateway/src/shutdown.rs
@@ -58,7 +58,7 @@
         let RunState::Draining { .. } = self else { return };
         let address = configuration.listen_address().filter(|_| is_planted(PlantedDefect::ReloadListens));
         if let Some((listener, _)) = address.and_then(|address| net.listen(address).ok()) {
-            net.set_half_open(listener);
+            net.allow_half_open(listener);
         }
     }
 
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -101,7 +101,7 @@
 
         let (listener, address) = with_startup_retries(|| net.listen(config.listen))
             .map_err(GatewayError::io_error(format!("listen on {}", config.listen)))?;
-        net.set_half_open(listener);
+        net.allow_half_open(listener);
         info!(name = %config.name, %address, recovered_messages, wall_clock_ahead_ms, "ready");
         let configuration = ConfigurationFile::new(environment.config_path.clone());
         let run_state = RunState::Serving { listener };
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -137,7 +137,7 @@
                 self.on_closed(now, connection);
             }
             NetEvent::Signal(_) => self.state.failure = Some(FleetError::Interrupted),
-            NetEvent::PeerFinished(_) | NetEvent::Flushed(_) | NetEvent::Woken => {}
+            NetEvent::PeerHalfClosed(_) | NetEvent::Flushed(_) | NetEvent::Woken => {}
         }
     }
 
