--- a/crates/net/src/connecting.rs
+++ b/crates/net/src/connecting.rs
@@ -1,12 +1,12 @@
-//! Connecting: starting outbound connections, telling the event loop of streams, and trying again what failed on this
-//! machine.
+//! Starting outbound connections, registering streams with the event loop, and retrying what failed with a transient
+//! local error.
 
 use crate::connection::{start_connect, Connection, ConnectionState};
 use crate::event::{ConnId, ListenerId, NetEvent};
-use crate::failures::is_refused_by_peer;
-use crate::net::{other, Net};
+use crate::failures::is_peer_connect_error;
+use crate::net::{to_io_error, Net};
 use crate::readiness::{Ready, ReadyList};
-use crate::retries::Unregistered;
+use crate::retries::UnregisteredStream;
 use calloop::generic::Generic;
 use calloop::{Dispatcher, Interest, Mode, PostAction};
 use std::io;
@@ -15,8 +15,8 @@
 use tracing::debug;
 
 impl Net {
-    /// Starts a connection. Its result comes as an event, never at once. Where this machine can't start it for the moment
-    /// (no descriptor, port, buffer or route), it is tried again until that works or [`Net::close`] ends it.
+    /// Starts a connection. The result is always reported as an event of a later poll. If a local shortage prevents the
+    /// start (no file descriptor, port, buffer or route), it is retried until it succeeds or [`Net::close`] is called.
     pub fn connect(&mut self, address: SocketAddr) -> ConnId {
         let id = ConnId(self.next_id());
         self.try_connect(id, address);
@@ -26,19 +26,19 @@
     fn try_connect(&mut self, id: ConnId, address: SocketAddr) {
         match start_connect(address) {
             Ok(stream) => self.register(id, Rc::new(stream), ConnectionState::Connecting, None),
-            Err(error) if is_refused_by_peer(&error) => {
-                debug!(connection = id.0, %address, %error, "connection refused");
-                self.pending.push(NetEvent::ConnectFailed(id, error.kind()));
+            Err(error) if is_peer_connect_error(&error) => {
+                debug!(connection = id.0, %address, %error, "connect failed at once");
+                self.pending_events.push(NetEvent::ConnectFailed(id, error.kind()));
             }
             Err(error) => {
-                debug!(connection = id.0, %address, %error, "connection can't be started, tried again");
+                debug!(connection = id.0, %address, %error, "connection cannot be started, retrying");
                 self.retries.connects.insert(id, address);
                 self.retries.schedule();
             }
         }
     }
 
-    /// Tells the event loop of a stream; `listener` has accepted it, unless it is outbound.
+    /// Registers a stream with the event loop. `listener` is the listener that accepted it, `None` if it is outbound.
     pub(crate) fn register(
         &mut self,
         id: ConnId,
@@ -47,8 +47,8 @@
         listener: Option<ListenerId>,
     ) {
         if let Err(error) = self.insert_source(id, &stream, state) {
-            debug!(connection = id.0, %error, "connection can't be registered, tried again");
-            self.retries.registrations.insert(id, Unregistered { stream, state, listener });
+            debug!(connection = id.0, %error, "connection cannot be registered, retrying");
+            self.retries.registrations.insert(id, UnregisteredStream { stream, state, listener });
             return self.retries.schedule();
         }
         if let Some(listener) = listener {
@@ -70,38 +70,40 @@
             Ok(PostAction::Continue)
         };
         let source = Dispatcher::new(Generic::new(stream.clone(), interest, Mode::Level), on_ready);
-        let token = self.handle.register_dispatcher(source.clone()).map_err(other)?;
+        let token = self.handle.register_dispatcher(source.clone()).map_err(to_io_error)?;
         self.connections.insert(id, Connection::new(stream.clone(), source, token, state));
         Ok(())
     }
 
-    /// Tries again what failed on this machine.
+    /// Retries the operations that failed with a transient local error.
     pub(crate) fn retry_failed(&mut self) {
         for (id, address) in std::mem::take(&mut self.retries.connects) {
             self.try_connect(id, address);
         }
-        for (id, Unregistered { stream, state, listener }) in std::mem::take(&mut self.retries.registrations)
+        for (id, UnregisteredStream { stream, state, listener }) in
+            std::mem::take(&mut self.retries.registrations)
         {
             self.register(id, stream, state, listener);
         }
-        for id in std::mem::take(&mut self.retries.interests) {
+        for id in std::mem::take(&mut self.retries.interest_updates) {
             self.update_interest(id);
         }
     }
 
-    /// An outbound connection is established, or has failed.
+    /// Completes an outbound connect once its socket is ready: reports [`NetEvent::Connected`] or
+    /// [`NetEvent::ConnectFailed`].
     pub(crate) fn finish_connect(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         match connection.stream.take_error() {
             Ok(None) => {
                 connection.state = ConnectionState::Open;
-                self.pending.push(NetEvent::Connected(id));
+                self.pending_events.push(NetEvent::Connected(id));
                 self.write(id);
             }
             Ok(Some(error)) | Err(error) => {
                 debug!(connection = id.0, %error, "connection failed");
                 self.close(id);
-                self.pending.push(NetEvent::ConnectFailed(id, error.kind()));
+                self.pending_events.push(NetEvent::ConnectFailed(id, error.kind()));
             }
         }
     }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,6 +1,6 @@
-//! One connection: its state, its queued bytes, reading and writing.
+//! One connection: its state, its output buffer, reading and writing.
 
-use crate::failures::{is_in_progress, leaves_connection_open};
+use crate::failures::{is_in_progress, is_transient};
 use crate::readiness::ReadyList;
 use calloop::generic::Generic;
 use calloop::{Dispatcher, Interest, RegistrationToken};
@@ -12,88 +12,88 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Most bytes read from one connection in one poll, up to one read buffer more: a fast peer must not keep the others
-/// waiting.
+/// Limit on the bytes read from one connection in one poll, so that a fast peer does not starve the others. The last
+/// read may exceed it by up to one read buffer.
 pub const MAX_READ_PER_CONNECTION: usize = 256 << 10;
-/// Bytes of the buffer of one read call.
-const READ_BUFFER: usize = 64 << 10;
+/// Size of the buffer for one read call, in bytes.
+const READ_BUFFER_SIZE: usize = 64 << 10;
 
-/// The event source of a connection.
+/// The event source of a connection, which adds readiness to the poll's [`ReadyList`].
 pub type StreamSource = Dispatcher<'static, Generic<Rc<TcpStream>>, ReadyList>;
 
-/// How far a connection has come.
+/// Stage of a connection's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// An outbound connection is being established.
     Connecting,
-    /// It carries bytes in both directions.
+    /// Established; bytes may be sent and received.
     Open,
-    /// Closed by its owner and on our side; what the peer still sends is left unread.
+    /// Closed by its owner and shut down for writing; bytes that still arrive are left unread.
     Lingering,
 }
 
 /// Whether a connection is read from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadState {
-    /// What arrives is read at once.
+    /// Bytes are read as they arrive.
     Active,
-    /// Its owner wants no bytes for now.
+    /// Reading is paused by the owner and can be resumed.
     Paused,
-    /// Never again: its owner has closed it, or its peer has ended its sending.
+    /// Reading has ended for good: the owner closed the connection, or the peer shut down its write side.
     Ended,
 }
 
 /// How the peer's side of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// By an orderly close.
+    /// The peer closed it or shut down its write side (FIN).
     Orderly,
-    /// By a reset or another error.
+    /// A reset or another I/O error.
     Broken,
 }
 
-/// What could be read at once.
+/// Result of reading a connection once in a poll.
 pub struct ReadResult {
-    /// The bytes, in order.
+    /// The bytes received, in order; empty if none had arrived.
     pub bytes: Vec<u8>,
-    /// The end behind them, if it has come.
+    /// How the stream ended after these bytes; `None` if it has not ended.
     pub end: Option<StreamEnd>,
 }
 
-/// The system takes no more bytes: the connection is broken.
+/// A write failed for good; the connection is broken.
 #[derive(Debug)]
 pub struct WriteFailed;
 
-/// Bytes queued for writing.
+/// Bytes queued for writing; the first `written` of them are already in the socket.
 #[derive(Default)]
 struct OutputBuffer {
     bytes: Vec<u8>,
     written: usize,
 }
 
-/// A TCP connection that the event loop watches.
+/// A TCP connection registered with the event loop.
 pub struct Connection {
     /// The socket, shared with its event source.
     pub stream: Rc<TcpStream>,
-    /// Its event source.
+    /// The event source, which holds the interest that the event loop polls for.
     pub source: StreamSource,
-    /// Its registration in the event loop.
+    /// The registration token of the event source in the event loop.
     pub token: RegistrationToken,
-    /// How far it has come.
+    /// Connecting, open or lingering.
     pub state: ConnectionState,
-    /// Whether it is read from.
+    /// Whether bytes are read from it.
     pub read_state: ReadState,
-    /// It stays open for writing when its peer ends its sending.
+    /// Whether it stays open for writing after the peer shuts down its write side.
     pub allow_half_open: bool,
-    /// Small writes may be held back by the system, which could not be told otherwise so far.
-    may_delay_writes: bool,
-    /// Its owner has closed it: it ends once all queued bytes are written.
+    /// `TCP_NODELAY` is not set yet.
+    nodelay_pending: bool,
+    /// The owner has closed it: it is shut down once all queued bytes are written.
     pub close_after_flush: bool,
     output: OutputBuffer,
 }
 
 impl Connection {
-    /// A connection with nothing queued.
+    /// Creates a connection with an empty output buffer and reading active.
     pub fn new(
         stream: Rc<TcpStream>,
         source: StreamSource,
@@ -107,33 +107,33 @@
             state,
             read_state: ReadState::Active,
             allow_half_open: false,
-            may_delay_writes: true,
+            nodelay_pending: true,
             close_after_flush: false,
             output: OutputBuffer::default(),
         }
     }
 
-    /// Whether it is still being established.
+    /// Whether the outbound connect has not completed yet.
     pub fn is_connecting(&self) -> bool {
         self.state == ConnectionState::Connecting
     }
 
-    /// Whether its owner has closed it and only its peer's end is awaited.
+    /// Whether it is in lingering close: shut down on our side, waiting for the peer to close.
     pub fn is_lingering(&self) -> bool {
         self.state == ConnectionState::Lingering
     }
 
-    /// Queues bytes for writing.
+    /// Appends bytes to the output buffer without writing them to the socket.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes queued that the system has not taken.
+    /// Number of queued bytes that are not yet written to the socket.
     pub fn unsent_bytes(&self) -> usize {
         self.output.bytes.len() - self.output.written
     }
 
-    /// What the event loop should report of it.
+    /// The readiness that the event loop has to report in the current state.
     pub fn interest(&self) -> Interest {
         let writable = self.is_connecting() || self.unsent_bytes() > 0;
         let readable = self.state == ConnectionState::Open && self.read_state == ReadState::Active;
@@ -142,26 +142,26 @@
         Interest { readable, writable }
     }
 
-    /// Tells the system not to hold back small writes: a reset would take them along, replies of ours among them.
-    pub fn send_without_delay(&mut self) {
-        if self.may_delay_writes {
+    /// Sets `TCP_NODELAY`, so that the kernel does not hold back small writes: a reset would discard them, replies included.
+    pub fn ensure_nodelay(&mut self) {
+        if self.nodelay_pending {
             match self.stream.set_nodelay(true) {
-                Ok(()) => self.may_delay_writes = false,
-                Err(error) => debug!(%error, "TCP_NODELAY can't be set, tried again with the next write"),
+                Ok(()) => self.nodelay_pending = false,
+                Err(error) => debug!(%error, "TCP_NODELAY cannot be set, retrying with the next write"),
             }
         }
     }
 
-    /// Writes queued bytes until all are written or the system takes no more for now.
+    /// Writes queued bytes until all are written or the socket accepts no more for now.
     pub fn write_queued(&mut self) -> Result<(), WriteFailed> {
-        self.send_without_delay();
+        self.ensure_nodelay();
         let OutputBuffer { bytes, written } = &mut self.output;
         while *written < bytes.len() {
             match (&*self.stream).write(&bytes[*written..]) {
                 Ok(0) => return Err(WriteFailed),
                 Ok(count) => *written += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if leaves_connection_open(&error) => return Ok(()),
+                Err(error) if is_transient(&error) => return Ok(()),
                 Err(error) => {
                     debug!(%error, "write failed");
                     return Err(WriteFailed);
@@ -174,16 +174,16 @@
         Ok(())
     }
 
-    /// Reads what has arrived, within the bound of one poll.
+    /// Reads the bytes that have arrived, up to about [`MAX_READ_PER_CONNECTION`].
     pub fn read_available(&self) -> ReadResult {
         let mut bytes = Vec::new();
-        let mut buffer = [0; READ_BUFFER];
+        let mut buffer = [0; READ_BUFFER_SIZE];
         let end = loop {
             match (&*self.stream).read(&mut buffer) {
                 Ok(0) => break Some(StreamEnd::Orderly),
                 Ok(count) => bytes.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if leaves_connection_open(&error) => break None,
+                Err(error) if is_transient(&error) => break None,
                 Err(error) => {
                     debug!(%error, "read failed");
                     break Some(StreamEnd::Broken);
@@ -197,7 +197,10 @@
     }
 }
 
-/// Starts a non-blocking connect.
+/// Starts a non-blocking connect; the socket becomes writable when it has completed or failed.
+///
+/// # Errors
+/// Creating the socket failed, or the connect failed at once.
 pub fn start_connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/crates/net/src/failures.rs
+++ b/crates/net/src/failures.rs
@@ -1,8 +1,8 @@
-//! Which errors of system calls are this machine's, for a moment, and which say something of the peer.
+//! Classifies I/O errors: transient errors of this machine, and errors caused by the peer.
 
 use std::io::{self, ErrorKind};
 
-/// Linux's error numbers without a stable name in `std::io::ErrorKind`.
+/// Linux error numbers that have no stable `std::io::ErrorKind`.
 mod errno {
     pub const ENFILE: i32 = 23;
     pub const EMFILE: i32 = 24;
@@ -10,20 +10,20 @@
     pub const EINPROGRESS: i32 = 115;
 }
 
-/// Whether the system has too little of something at present: descriptors, memory, buffers.
-pub fn is_shortage(error: &io::Error) -> bool {
+/// Whether the system is out of a resource for the moment: file descriptors, memory or socket buffers.
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     error.kind() == ErrorKind::OutOfMemory
         || matches!(error.raw_os_error(), Some(errno::ENFILE | errno::EMFILE | errno::ENOBUFS))
 }
 
-/// Whether a non-blocking connect goes on by itself.
+/// Whether the error of a non-blocking connect means that the connect continues in the background.
 pub fn is_in_progress(error: &io::Error) -> bool {
     error.raw_os_error() == Some(errno::EINPROGRESS) || error.kind() == ErrorKind::Interrupted
 }
 
-/// Whether the failure of a connect that had just been started says something of the peer. All else is this machine's: no
-/// address or port is free, no route is up, a shortage.
-pub fn is_refused_by_peer(error: &io::Error) -> bool {
+/// Whether a connect that failed at once was rejected by the peer or the network path to it. All other errors are local
+/// and worth a retry: no free address or port, no route, or a resource shortage.
+pub fn is_peer_connect_error(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         ErrorKind::ConnectionRefused
@@ -33,7 +33,7 @@
     )
 }
 
-/// Whether a failed read or write leaves the connection as it was, to be tried again.
-pub fn leaves_connection_open(error: &io::Error) -> bool {
-    error.kind() == ErrorKind::WouldBlock || is_shortage(error)
+/// Whether a failed read or write leaves the connection intact and can be retried.
+pub fn is_transient(error: &io::Error) -> bool {
+    error.kind() == ErrorKind::WouldBlock || is_resource_shortage(error)
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,20 +1,20 @@
-//! Non-blocking TCP connections on calloop: the one place that touches sockets.
+//! Non-blocking TCP connections on calloop: the only crate through which the gateways use sockets.
 //!
-//! [`Net`] turns readiness into [`NetEvent`]s and knows nothing of what the bytes mean. Each connection holds at most
-//! what its owner has queued for writing; reading can be paused, which the peer sees as a full receive window.
+//! [`Net`] turns readiness into [`NetEvent`]s and does not interpret the bytes. A connection buffers only the bytes that
+//! its owner has queued for writing. Reading can be paused, which the peer sees as a full receive window.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `event` | ids of connections and listeners, and the events of a poll |
-//! | `connection` | one connection: its state, its queued bytes, reading and writing |
-//! | `connecting` | outbound connections, and the event loop's knowledge of streams |
-//! | `listening` | listeners, and accepting |
-//! | `failures` | which errors are this machine's, for a moment |
-//! | `retries` | operations that failed for such a reason |
-//! | `listener` | one listening socket, paused while the process is out of descriptors |
-//! | `lingering` | closed connections that are held, unread, until their peers have closed too |
-//! | `readiness` | what the event loop reports of one source |
-//! | `net` | all connections of one thread, and the poll of their event loop |
+//! | `event` | ids of connections and listeners, and the events that a poll returns |
+//! | `connection` | one connection: state, output buffer, reading and writing |
+//! | `connecting` | starting outbound connections and registering streams with the event loop |
+//! | `listening` | opening and closing listeners, and accepting connections |
+//! | `failures` | classification of I/O errors: transient local errors and errors caused by the peer |
+//! | `retries` | operations to retry after a transient local error |
+//! | `listener` | one listening socket, paused while the process has no free file descriptor |
+//! | `lingering` | lingering close: closed connections kept open, unread, until the peer closes or a timeout expires |
+//! | `readiness` | readiness of one event source |
+//! | `net` | all connections and listeners of one thread, and polling their event loop |
 #![forbid(unsafe_code)]
 
 mod connecting;
--- a/crates/net/src/listening.rs
+++ b/crates/net/src/listening.rs
@@ -1,10 +1,10 @@
-//! Listening: opening and closing listeners, and accepting connections while the system is short of what it takes.
+//! Opening and closing listeners, and accepting connections, also while the system is short of resources.
 
 use crate::connection::ConnectionState;
 use crate::event::{ConnId, ListenerId, NetEvent};
-use crate::failures::is_shortage;
+use crate::failures::is_resource_shortage;
 use crate::listener::{self, Listener};
-use crate::net::{other, Net};
+use crate::net::{to_io_error, Net};
 use crate::readiness::{Ready, ReadyList};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
@@ -15,23 +15,23 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// Connections in a row that may fail as they are accepted, before the listener pauses.
-const MAX_FAILED_ACCEPTS: usize = 64;
+/// Number of connections that may fail while being accepted in one pass, before the listener pauses.
+const MAX_ACCEPT_FAILURES: usize = 64;
 
-/// How far accepting came.
+/// How a pass of accepting connections ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Accepted {
-    /// All that were there.
-    All,
-    /// It failed, and is tried again after a pause.
+enum AcceptOutcome {
+    /// All queued connections were accepted.
+    QueueEmpty,
+    /// Accepting failed; it is retried after a pause.
     Paused,
 }
 
 impl Net {
-    /// Listens on an address; port 0 chooses a free one. Returns the address with its port.
+    /// Listens on an address; port 0 selects a free port. Returns the bound address.
     ///
     /// # Errors
-    /// The system's, where the address is in use or not this machine's, or no descriptor is left.
+    /// The system's, if the address is in use or not local, or no file descriptor is free.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(ListenerId, SocketAddr)> {
         let socket = Rc::new(listener::bind(address)?);
         let bound = socket.local_addr()?;
@@ -41,22 +41,23 @@
             ready.push(Ready::Listener(id));
             Ok(PostAction::Continue)
         };
-        let token = self.handle.insert_source(source, on_ready).map_err(other)?;
+        let token = self.handle.insert_source(source, on_ready).map_err(to_io_error)?;
         let listener = Listener { socket, token, paused: false, allow_half_open: false, closing: false };
         self.listeners.insert(id, listener);
         Ok((id, bound))
     }
 
-    /// Connections that a listener accepts from here on stay open for writing when their peers end their sending, which
-    /// is reported as [`NetEvent::PeerHalfClosed`]: a client may wait for its reply behind the end of its requests.
+    /// Keeps connections that the listener accepts from now on open for writing when the peer shuts down its write side,
+    /// which is reported as [`NetEvent::PeerHalfClosed`]. A client may do so after its last request and still wait for
+    /// the reply.
     pub fn allow_half_open(&mut self, id: ListenerId) {
         if let Some(listener) = self.listeners.get_mut(&id) {
             listener.allow_half_open = true;
         }
     }
 
-    /// Stops listening: further connections are refused. Those that the system took for us are accepted first: they
-    /// would be reset with the listener. Where accepting them fails for the moment, the listener stays until it succeeds.
+    /// Stops listening; new connections are refused. Connections in the kernel's queue are accepted first, because closing
+    /// the listener would reset them. If accepting them fails for the moment, the listener stays open until it succeeds.
     pub fn stop_listening(&mut self, id: ListenerId) {
         if let Some(listener) = self.listeners.get_mut(&id) {
             listener.closing = true;
@@ -64,19 +65,19 @@
         }
     }
 
-    /// Whether connections that the system took for a listener that was stopped are still to be accepted.
+    /// Whether a stopped listener may still have connections in the kernel's queue to accept.
     pub fn has_unaccepted_connections(&self) -> bool {
         self.listeners.values().any(|listener| listener.closing)
     }
 
-    /// Accepts connections again behind a pause.
+    /// Resumes paused listeners.
     pub(crate) fn resume_listeners(&mut self) {
         let paused = self.listeners.iter().filter(|(_, listener)| listener.paused).map(|(id, _)| *id);
         for id in paused.collect::<Vec<_>>() {
             let Some(listener) = self.listeners.get_mut(&id) else { continue };
             match self.handle.enable(&listener.token) {
                 Ok(()) => listener.paused = false,
-                Err(error) => debug!(%error, "listener can't be resumed, tried again"),
+                Err(error) => debug!(%error, "listener cannot be resumed, retrying"),
             }
             if listener.closing {
                 self.accept(id);
@@ -84,61 +85,62 @@
         }
     }
 
-    /// Accepts what the system has taken; closes the listener behind that, where it is closing.
+    /// Accepts the queued connections. A listener that is closing is then closed, unless accepting failed.
     pub(crate) fn accept(&mut self, id: ListenerId) {
-        let accepted = self.accept_all(id);
+        let accepted = self.accept_queued(id);
         #[cfg(feature = "planted-defects")]
-        let accepted = if is_planted(PlantedDefect::ListenerEnds) { Accepted::All } else { accepted };
+        let accepted =
+            if is_planted(PlantedDefect::ListenerEnds) { AcceptOutcome::QueueEmpty } else { accepted };
         let Some(listener) = self.listeners.get_mut(&id) else { return };
         match accepted {
-            Accepted::All if listener.closing => {
+            AcceptOutcome::QueueEmpty if listener.closing => {
                 if let Some(listener) = self.listeners.remove(&id) {
                     self.handle.remove(listener.token);
                 }
             }
-            Accepted::All => {}
-            // Guards against a loop without a pause: out of descriptors, the listener stays ready all the time.
-            Accepted::Paused => {
+            AcceptOutcome::QueueEmpty => {}
+            // Without the pause the event loop would spin: out of file descriptors, the listener stays ready all the time.
+            AcceptOutcome::Paused => {
                 listener.paused = self.handle.disable(&listener.token).is_ok() || listener.closing;
             }
         }
     }
 
-    fn accept_all(&mut self, id: ListenerId) -> Accepted {
+    fn accept_queued(&mut self, id: ListenerId) -> AcceptOutcome {
         let mut failures = 0;
-        while failures < MAX_FAILED_ACCEPTS {
-            let Some(listener) = self.listeners.get(&id) else { return Accepted::All };
+        while failures < MAX_ACCEPT_FAILURES {
+            let Some(listener) = self.listeners.get(&id) else { return AcceptOutcome::QueueEmpty };
             match listener.socket.accept() {
                 Ok((stream, _)) => {
                     let connection = ConnId(self.next_id());
                     self.register(connection, Rc::new(stream), ConnectionState::Open, Some(id));
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Accepted::All,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return AcceptOutcome::QueueEmpty,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if is_shortage(&error) => {
+                Err(error) if is_resource_shortage(&error) => {
                     warn!(%error, "connections can't be accepted, tried again");
-                    return Accepted::Paused;
+                    return AcceptOutcome::Paused;
                 }
-                // Such an error is that of one connection, which is gone; others wait behind it.
+                // This error concerns one connection, which is lost; others may be queued after it.
                 Err(error) => {
                     debug!(%error, "connection lost before it was accepted");
                     failures += 1;
                     #[cfg(feature = "planted-defects")]
                     if is_planted(PlantedDefect::ListenerEnds) {
-                        return Accepted::Paused;
+                        return AcceptOutcome::Paused;
                     }
                 }
             }
         }
-        Accepted::Paused
+        AcceptOutcome::Paused
     }
 
-    /// An accepted connection is registered.
+    /// Reports an accepted connection once it is registered with the event loop.
     pub(crate) fn on_accepted(&mut self, id: ConnId, listener: ListenerId) {
         let allow_half_open = self.listeners.get(&listener).is_some_and(|listener| listener.allow_half_open);
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.allow_half_open = allow_half_open;
         }
-        self.pending.push(NetEvent::Accepted { listener, conn: id });
+        self.pending_events.push(NetEvent::Accepted { listener, conn: id });
     }
 }
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -1,4 +1,4 @@
-//! All connections of one thread, and the poll of their event loop.
+//! All connections and listeners of one thread, and polling their event loop.
 
 use crate::connection::{Connection, ConnectionState, ReadState, StreamEnd};
 use crate::event::{ConnId, ListenerId, NetEvent};
@@ -18,19 +18,21 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// Most bytes read in one poll from all connections, and one connection's more. Guards against memory that many fast
-/// peers take together: what is read stands in events until it is handled. The rest is read in the next poll.
+/// Limit on the bytes read from all connections in one poll; the last connection read may exceed it by its own limit.
+/// Bytes that are read stay in memory as events until they are handled, so this bounds the memory that many fast peers
+/// can take together. The rest is read in the next poll.
 pub(crate) const MAX_READ_PER_POLL: usize = 2 << 20;
-/// Waits in a row that may fail before the event loop counts as broken, and the pause behind each.
-const MAX_FAILED_WAITS: u32 = 500;
-const FAILED_WAIT_PAUSE: Duration = Duration::from_millis(10);
+/// Number of consecutive failed waits after which the event loop counts as broken.
+const MAX_CONSECUTIVE_WAIT_FAILURES: u32 = 500;
+/// Delay after each failed wait.
+const WAIT_FAILURE_DELAY: Duration = Duration::from_millis(10);
 
-/// Wakes a [`Net`] from another thread.
+/// Wakes the poll of a [`Net`] from any thread.
 #[derive(Clone)]
 pub struct Waker(Ping);
 
 impl Waker {
-    /// Makes the current or next poll return.
+    /// Makes the current or next poll return, with a [`NetEvent::Woken`].
     pub fn wake(&self) {
         self.0.ping();
     }
@@ -44,32 +46,32 @@
     pub(crate) listeners: HashMap<ListenerId, Listener>,
     pub(crate) retries: Retries,
     lingering: LingerQueue,
-    /// Waits that failed since the last one that did not.
-    failed_waits: u32,
-    /// Bytes read in this poll.
+    /// Failed waits since the last successful one.
+    consecutive_wait_failures: u32,
+    /// Bytes read from all connections in the current poll.
     bytes_read: usize,
     waker: Waker,
-    /// The last id that was given to a connection or listener.
+    /// The last id assigned to a connection or listener.
     last_id: u64,
-    /// Events that the next poll returns, also those of operations outside a poll.
-    pub(crate) pending: Vec<NetEvent>,
+    /// Events that the next poll returns, including those of operations between polls.
+    pub(crate) pending_events: Vec<NetEvent>,
 }
 
-pub(crate) fn other(error: impl std::fmt::Display) -> io::Error {
+pub(crate) fn to_io_error(error: impl std::fmt::Display) -> io::Error {
     io::Error::other(error.to_string())
 }
 
 impl Net {
-    /// Creates an event loop without connections.
+    /// Creates an event loop without connections or listeners.
     ///
     /// # Errors
-    /// The system's, where it has no descriptor left for the event loop.
+    /// The system's, if no file descriptor is free for the event loop.
     pub fn new() -> io::Result<Net> {
-        let event_loop: EventLoop<ReadyList> = EventLoop::try_new().map_err(other)?;
+        let event_loop: EventLoop<ReadyList> = EventLoop::try_new().map_err(to_io_error)?;
         let handle = event_loop.handle();
         let (ping, source) = make_ping()?;
         let on_ping = |(), (): &mut (), ready: &mut ReadyList| ready.push(Ready::Woken);
-        handle.insert_source(source, on_ping).map_err(other)?;
+        handle.insert_source(source, on_ping).map_err(to_io_error)?;
         Ok(Net {
             event_loop,
             handle,
@@ -77,29 +79,29 @@
             listeners: HashMap::new(),
             retries: Retries::default(),
             lingering: LingerQueue::new(),
-            failed_waits: 0,
+            consecutive_wait_failures: 0,
             bytes_read: 0,
             waker: Waker(ping),
             last_id: 0,
-            pending: Vec::new(),
+            pending_events: Vec::new(),
         })
     }
 
-    /// A handle by which other threads make a poll return.
+    /// Returns a handle that lets other threads wake the poll.
     pub fn waker(&self) -> Waker {
         self.waker.clone()
     }
 
-    /// Reports these signals as events from now on. Call before other threads are started.
+    /// Reports these signals as [`NetEvent::Signal`] from now on. Call it before other threads are started.
     ///
     /// # Errors
-    /// The system's, where it has no descriptor left for the signals.
+    /// The system's, if no file descriptor is free for the signals.
     pub fn watch_signals(&mut self, signals: &[Signal]) -> io::Result<()> {
         let source = Signals::new(signals)?;
         let on_signal = |event: calloop::signals::Event, _: &mut (), ready: &mut ReadyList| {
             ready.push(Ready::Signal(event.signal()));
         };
-        self.handle.insert_source(source, on_signal).map_err(other)?;
+        self.handle.insert_source(source, on_signal).map_err(to_io_error)?;
         Ok(())
     }
 
@@ -108,7 +110,7 @@
         self.last_id
     }
 
-    /// Queues bytes and writes at once what the system takes.
+    /// Queues bytes and writes as many of them as the socket accepts now. Unknown ids are ignored.
     pub fn send(&mut self, id: ConnId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.queue(bytes);
@@ -117,31 +119,32 @@
         }
     }
 
-    /// Bytes queued that the system has not taken.
+    /// Number of queued bytes that are not yet written to the socket; 0 for an unknown id.
     pub fn unsent_bytes(&self, id: ConnId) -> usize {
         self.connections.get(&id).map_or(0, Connection::unsent_bytes)
     }
 
-    /// Whether a connection is known and not closed.
+    /// Whether a connection is known and not in lingering close.
     pub fn is_open(&self, id: ConnId) -> bool {
         self.connections.get(&id).is_some_and(|connection| !connection.is_lingering())
     }
 
-    /// Stops or resumes reading from a connection.
+    /// Pauses or resumes reading from a connection. No effect once reading has ended.
     pub fn set_read_paused(&mut self, id: ConnId, paused: bool) {
-        let wanted = if paused { ReadState::Paused } else { ReadState::Active };
+        let new_state = if paused { ReadState::Paused } else { ReadState::Active };
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if connection.read_state != wanted && connection.read_state != ReadState::Ended {
-            connection.read_state = wanted;
+        if connection.read_state != new_state && connection.read_state != ReadState::Ended {
+            connection.read_state = new_state;
             self.update_interest(id);
         }
     }
 
     /// Closes a connection once all queued bytes have been written. No event follows.
     ///
-    /// From this call on nothing is read from it: what still arrives was not taken, and its sender learns so by an end
-    /// without a reply. Our side is shut down behind the queued bytes, and the socket is held for a moment, until the
-    /// peer has closed too. Guards against a reset that overtakes the reply: closing with bytes unread sends one.
+    /// From this call on nothing is read from it: bytes that still arrive count as not received, which their sender
+    /// learns from the end of the stream without a reply. After the queued bytes, the write side is shut down, and the
+    /// socket stays open until the peer closes too or a timeout expires. Closing it with unread bytes would send a reset,
+    /// which can overtake the reply.
     pub fn close_after_flush(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.close_after_flush {
@@ -162,7 +165,7 @@
         if connection.is_lingering() {
             return;
         }
-        // Where the peer has gone meanwhile there is nothing to wait for.
+        // A failed shutdown means that the peer is gone, so there is nothing to wait for.
         if connection.stream.shutdown(Shutdown::Write).is_err() {
             return self.close(id);
         }
@@ -172,25 +175,28 @@
         self.close_expired_lingering(None);
     }
 
-    /// Closes our side of a connection; bytes and the end of the peer's side are still reported. Queued bytes are lost.
+    /// Shuts down the write side of a connection; queued bytes are lost. Bytes from the peer and its close are still
+    /// reported.
     pub fn shutdown_write(&mut self, id: ConnId) {
         if let Some(connection) = self.connections.get(&id) {
-            // Where it fails the peer has gone, which is reported as its end.
+            // A failure means that the peer is gone, which is reported as the end of the connection.
             let _ = connection.stream.shutdown(Shutdown::Write);
         }
     }
 
-    /// Sets how many connections may linger; the oldest of more are closed at once, as each holds a descriptor.
-    pub fn set_max_lingering(&mut self, most: usize) {
-        self.lingering.set_max_entries(most);
+    /// Sets how many connections may linger. Beyond that, those that expire first are closed early, because each holds a
+    /// file descriptor.
+    pub fn set_max_lingering(&mut self, max_connections: usize) {
+        self.lingering.set_max_entries(max_connections);
     }
 
-    /// Connections closed by [`Net::close_after_flush`] that have bytes to write, or whose peers have not closed yet.
+    /// Number of connections closed by [`Net::close_after_flush`] that still have bytes to write or whose peer has not
+    /// closed yet.
     pub fn lingering_count(&self) -> usize {
         self.lingering.len()
     }
 
-    /// Closes what has lingered long enough, and the oldest where there are too many.
+    /// Closes lingering connections that have expired at `now`, and those that expire first while the limit is exceeded.
     fn close_expired_lingering(&mut self, now: Option<Instant>) {
         while let Some(id) = self.lingering.pop_expired(now) {
             self.close(id);
@@ -209,7 +215,7 @@
     /// Closes a connection so that the peer sees a reset. No event follows.
     pub fn reset(&mut self, id: ConnId) {
         if let Some(connection) = self.connections.get(&id) {
-            // Without it the close is an orderly one, which is the lesser fault.
+            // On failure the close is orderly instead of a reset, which is the lesser evil.
             let _ = SockRef::from(&*connection.stream).set_linger(Some(Duration::ZERO));
         }
         self.close(id);
@@ -220,18 +226,18 @@
         let interest = connection.interest();
         connection.source.as_source_mut().interest = interest;
         if let Err(error) = self.handle.update(&connection.token) {
-            debug!(connection = id.0, %error, "event source can't be changed, tried again");
-            self.retries.interests.insert(id);
+            debug!(connection = id.0, %error, "event source cannot be updated, retrying");
+            self.retries.interest_updates.insert(id);
             self.retries.schedule();
         }
     }
 
-    fn on_ended(&mut self, id: ConnId, end: StreamEnd) {
-        // Nothing is reported of one that its owner has closed already.
+    fn on_connection_ended(&mut self, id: ConnId, end: StreamEnd) {
+        // Nothing is reported for a connection that its owner has already closed.
         let is_reported = self.connections.get(&id).is_some_and(|connection| !connection.close_after_flush);
         self.close(id);
         if is_reported {
-            self.pending.push(NetEvent::Closed { conn: id, clean: end == StreamEnd::Orderly });
+            self.pending_events.push(NetEvent::Closed { conn: id, clean: end == StreamEnd::Orderly });
         }
     }
 
@@ -243,7 +249,7 @@
         }
         if connection.unsent_bytes() == 0 {
             if had_unsent_bytes {
-                self.pending.push(NetEvent::Flushed(id));
+                self.pending_events.push(NetEvent::Flushed(id));
             }
             if connection.close_after_flush {
                 return self.start_lingering(id);
@@ -252,19 +258,19 @@
         self.update_interest(id);
     }
 
-    /// The system takes no more of our bytes. Guards against a response that is lost with them: what the peer sent ahead
-    /// of its reset is still there, and is reported first.
+    /// Handles a failed write. Bytes that the peer sent before its reset can still be read, so they are reported before
+    /// the end of the connection; otherwise a response among them would be lost.
     fn on_write_failed(&mut self, id: ConnId) {
         if self.connections.get(&id).is_some_and(|connection| connection.read_state != ReadState::Ended) {
             self.read_bytes(id);
         }
-        self.on_ended(id, StreamEnd::Broken);
+        self.on_connection_ended(id, StreamEnd::Broken);
     }
 
     fn read(&mut self, id: ConnId) {
         match self.read_bytes(id) {
-            Some(StreamEnd::Orderly) if self.allows_half_open(id) => self.on_peer_finished(id),
-            Some(end) => self.on_ended(id, end),
+            Some(StreamEnd::Orderly) if self.allows_half_open(id) => self.on_peer_half_closed(id),
+            Some(end) => self.on_connection_ended(id, end),
             None => {}
         }
     }
@@ -273,28 +279,28 @@
         self.connections.get(&id).is_some_and(|connection| connection.allow_half_open)
     }
 
-    fn on_peer_finished(&mut self, id: ConnId) {
+    fn on_peer_half_closed(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.read_state = ReadState::Ended;
-        self.pending.push(NetEvent::PeerHalfClosed(id));
+        self.pending_events.push(NetEvent::PeerHalfClosed(id));
         self.update_interest(id);
     }
 
-    /// Reports the bytes that have arrived; returns the end of the peer's side, if it has come.
+    /// Reads and reports the bytes that have arrived; returns how the peer's side ended, if it has.
     fn read_bytes(&mut self, id: ConnId) -> Option<StreamEnd> {
         let connection = self.connections.get_mut(&id)?;
         let read = connection.read_available();
         self.bytes_read += read.bytes.len();
         if !read.bytes.is_empty() {
-            self.pending.push(NetEvent::Bytes(id, read.bytes));
+            self.pending_events.push(NetEvent::Bytes(id, read.bytes));
         }
         read.end
     }
 
-    /// Waits until something happens, at most for `timeout`, and returns what did.
+    /// Waits for events, at most for `timeout`, and returns them; without a timeout, until something happens.
     ///
     /// # Errors
-    /// The event loop's, which are not to be expected while the process has its descriptors.
+    /// The event loop's, if waiting has failed too many times in a row. Not expected while its file descriptors are valid.
     pub fn poll(&mut self, timeout: Option<Duration>) -> io::Result<Vec<NetEvent>> {
         self.close_expired_lingering(Some(Instant::now()));
         let timeout = self.dispatch_timeout(timeout);
@@ -308,42 +314,42 @@
         for ready in ready_list {
             self.on_ready(ready);
         }
-        Ok(std::mem::take(&mut self.pending))
+        Ok(std::mem::take(&mut self.pending_events))
     }
 
-    /// Waits for readiness. A wait that fails is as one that returns early, unless it fails again and again.
+    /// Waits for readiness. A failed wait counts as one that returned early, unless too many fail in a row.
     fn wait(&mut self, timeout: Option<Duration>, ready_list: &mut ReadyList) -> io::Result<()> {
         match self.event_loop.dispatch(timeout, ready_list) {
-            Ok(()) => self.failed_waits = 0,
+            Ok(()) => self.consecutive_wait_failures = 0,
             Err(error) => {
-                warn!(%error, "event loop failed to wait, tried again");
-                self.failed_waits += 1;
-                if self.failed_waits > MAX_FAILED_WAITS {
-                    return Err(other(error));
+                warn!(%error, "event loop wait failed, retrying");
+                self.consecutive_wait_failures += 1;
+                if self.consecutive_wait_failures > MAX_CONSECUTIVE_WAIT_FAILURES {
+                    return Err(to_io_error(error));
                 }
-                std::thread::sleep(FAILED_WAIT_PAUSE);
+                std::thread::sleep(WAIT_FAILURE_DELAY);
             }
         }
         Ok(())
     }
 
-    /// How long the event loop may wait: until its caller's timeout, the end of a listener's pause, or the next lingering
-    /// connection's; not at all where events are pending.
+    /// How long the event loop may wait: until the earliest of the caller's timeout, the end of a listener's pause, the
+    /// expiry of a lingering connection and the next retry; not at all if events are pending.
     fn dispatch_timeout(&self, timeout: Option<Duration>) -> Option<Duration> {
-        let timeout = if self.pending.is_empty() { timeout } else { Some(Duration::ZERO) };
+        let timeout = if self.pending_events.is_empty() { timeout } else { Some(Duration::ZERO) };
         let is_listener_paused = self.listeners.values().any(|listener| listener.paused);
         let pause = is_listener_paused.then_some(LISTENER_PAUSE);
-        let from_now = |until: Instant| until.saturating_duration_since(Instant::now());
-        let lingering = self.lingering.next_timeout().map(from_now);
-        let retry = self.retries.next_timeout().map(from_now);
+        let from_now = |instant: Instant| instant.saturating_duration_since(Instant::now());
+        let lingering = self.lingering.next_expiry().map(from_now);
+        let retry = self.retries.next_retry_at().map(from_now);
         [timeout, pause, lingering, retry].into_iter().flatten().min()
     }
 
     fn on_ready(&mut self, ready: Ready) {
         match ready {
             Ready::Listener(id) => self.accept(id),
-            Ready::Signal(signal) => self.pending.push(NetEvent::Signal(signal)),
-            Ready::Woken => self.pending.push(NetEvent::Woken),
+            Ready::Signal(signal) => self.pending_events.push(NetEvent::Signal(signal)),
+            Ready::Woken => self.pending_events.push(NetEvent::Woken),
             Ready::Connection { id, readable, writable } => {
                 self.on_connection_ready(id, readable, writable);
             }
@@ -361,7 +367,7 @@
                 }
                 return;
             }
-            // It asks for nothing, so that this is its peer's end.
+            // It has no interest registered, so readiness means that the peer closed or reset it.
             ConnectionState::Lingering => return self.close(id),
             ConnectionState::Open => {}
         }
--- a/crates/net/src/readiness.rs
+++ b/crates/net/src/readiness.rs
@@ -1,18 +1,18 @@
-//! What the event loop reports of one source.
+//! Readiness of event sources, as one dispatch of the event loop reports it.
 
 use crate::event::{ConnId, ListenerId};
 use calloop::signals::Signal;
 
-/// One source that has something to do.
+/// An event source that is ready.
 #[derive(Clone, Copy, Debug)]
 pub enum Ready {
-    /// Connections wait to be accepted.
+    /// The listener has connections to accept.
     Listener(ListenerId),
-    /// A connection can be read or written, or both.
+    /// A connection is readable, writable or both.
     Connection { id: ConnId, readable: bool, writable: bool },
-    /// A signal arrived.
+    /// The process received a watched signal.
     Signal(Signal),
-    /// A [`Waker`](crate::Waker) was used.
+    /// [`Waker::wake`](crate::Waker::wake) was called.
     Woken,
 }
 
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of connections, closes and bounds, on sockets.
+//! Tests of connections, closing and limits, over loopback sockets.
 
 use crate::connection::MAX_READ_PER_CONNECTION;
 use crate::lingering::DEFAULT_MAX_LINGERING;
@@ -9,7 +9,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Polls until an event is the expected one; a bound on rounds ends a test that would hang.
+/// Polls until `expected` returns a value for an event; panics after 1000 polls, so that a test does not hang.
 fn poll_until<T>(net: &mut Net, mut expected: impl FnMut(NetEvent) -> Option<T>) -> T {
     for _ in 0..1000 {
         for event in net.poll(Some(Duration::from_millis(100))).unwrap() {
@@ -18,10 +18,11 @@
             }
         }
     }
-    panic!("it never happened");
+    panic!("expected event not reported within 1000 polls");
 }
 
-fn pair(net: &mut Net) -> (ConnId, ConnId) {
+/// Connects to a new listener; returns the ids of the client's and the server's connection.
+fn connected_pair(net: &mut Net) -> (ConnId, ConnId) {
     let (_, address) = net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let client = net.connect(address);
     let server = poll_until(net, |event| match event {
@@ -32,9 +33,9 @@
 }
 
 #[test]
-fn connection_carries_three_million_bytes_unchanged() {
+fn connection_transfers_three_million_bytes_unchanged() {
     let mut net = Net::new().unwrap();
-    let (client, server) = pair(&mut net);
+    let (client, server) = connected_pair(&mut net);
     let sent: Vec<u8> = (0..3_000_000u32).map(|i| (i % 251) as u8).collect();
     net.send(client, &sent);
     net.close_after_flush(client);
@@ -51,9 +52,9 @@
 }
 
 #[test]
-fn paused_reader_leaves_bytes_unsent_at_the_writer() {
+fn pausing_reads_applies_backpressure_to_the_sender() {
     let mut net = Net::new().unwrap();
-    let (client, server) = pair(&mut net);
+    let (client, server) = connected_pair(&mut net);
     net.set_read_paused(server, true);
     net.send(client, &vec![7; 64 << 20]);
     while !net.poll(Some(Duration::from_millis(50))).unwrap().is_empty() {}
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn refused_and_reset_connections_are_distinguished_from_closed_ones() {
+fn refused_and_reset_connections_are_not_reported_as_orderly_closes() {
     let mut net = Net::new().unwrap();
     let (listener, address) = net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     net.stop_listening(listener);
@@ -73,7 +74,7 @@
         _ => None,
     });
     assert_eq!(kind, ErrorKind::ConnectionRefused);
-    let (client, server) = pair(&mut net);
+    let (client, server) = connected_pair(&mut net);
     net.reset(server);
     let clean = poll_until(&mut net, |event| match event {
         NetEvent::Closed { conn, clean } if conn == client => Some(clean),
@@ -82,8 +83,8 @@
     assert!(!clean);
 }
 
-/// A gateway that shuts down responds and closes while its client still sends. Guards against the reset that a close
-/// with unread bytes is: the client must read the response and then an orderly end.
+/// Closing a socket with unread bytes sends a reset, which can destroy a response already written. It happens when a
+/// gateway shuts down and closes while its client still sends; the client must read the response, then an orderly end.
 #[test]
 fn close_after_flush_delivers_the_response_despite_unread_bytes() {
     let mut net = Net::new().unwrap();
@@ -98,7 +99,7 @@
     net.send(server, b"+OK\r\n");
     net.close_after_flush(server);
     assert_eq!((net.is_open(server), net.lingering_count()), (false, 1));
-    // It has no events of its own any more; what its peer still sends is left unread.
+    // From here on only `Flushed` is reported for the connection; bytes that the client sends are left unread.
     let reader = std::thread::spawn(move || {
         client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         let mut text = Vec::new();
@@ -115,9 +116,10 @@
     assert_eq!(reader.join().unwrap(), (b"+OK\r\n".to_vec(), true));
 }
 
-/// An endpoint rejects a request before it is complete, and resets the connection: the request's last byte finds it broken.
+/// Loss of a response that was received before a reset. An endpoint rejects a request before it is complete and resets
+/// the connection, so that writing the rest of the request fails before the response is read.
 #[test]
-fn bytes_ahead_of_a_reset_are_reported_when_a_write_meets_the_reset_first() {
+fn received_bytes_are_reported_when_a_write_fails_on_a_reset() {
     let mut net = Net::new().unwrap();
     let (_, address) = net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut peer = TcpStream::connect(address).unwrap();
@@ -130,7 +132,7 @@
     drop(peer);
     let end = Instant::now() + Duration::from_secs(5);
     while net.is_open(conn) {
-        assert!(Instant::now() < end, "no write met the reset");
+        assert!(Instant::now() < end, "no write failed on the reset");
         net.send(conn, b"x");
     }
     let mut events = Vec::new();
@@ -143,9 +145,9 @@
     assert!(matches!(events[1..], [NetEvent::Closed { clean: false, .. }]), "{events:?}");
 }
 
-/// Many peers that send at full speed: no poll reads more than its bound, and all that they sent arrives.
+/// With many peers that send at full speed, no poll reads more than its limit, and all bytes arrive.
 #[test]
-fn one_poll_reads_a_bounded_number_of_bytes_and_none_are_lost() {
+fn poll_limits_bytes_read_and_loses_none() {
     const BYTES_PER_CLIENT: usize = 200 << 10;
     let mut net = Net::new().unwrap();
     let (_, address) = net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -155,15 +157,15 @@
         accepted += usize::from(matches!(event, NetEvent::Accepted { .. }));
         (accepted == 30).then_some(())
     });
-    // All of it is in the system's buffers, as far as they take it, before the first poll.
+    // Non-blocking, so that each round writes as much as the socket buffers take before it polls.
     for client in &mut clients {
         client.set_nonblocking(true).unwrap();
     }
     let mut left = [BYTES_PER_CLIENT; 30];
-    let (mut received, mut most_per_poll) = (0, 0);
+    let (mut received, mut max_per_poll) = (0, 0);
     let end = Instant::now() + Duration::from_secs(20);
     while received < BYTES_PER_CLIENT * 30 {
-        assert!(Instant::now() < end, "{received} arrived");
+        assert!(Instant::now() < end, "timed out with {received} bytes received");
         for (client, left) in clients.iter_mut().zip(&mut left) {
             while let Ok(count @ 1..) = client.write(&[7; 64 << 10][..(*left).min(64 << 10)]) {
                 *left -= count;
@@ -172,17 +174,17 @@
         let events = net.poll(Some(Duration::from_millis(20))).unwrap();
         let bytes = |event: &NetEvent| if let NetEvent::Bytes(_, bytes) = event { bytes.len() } else { 0 };
         let in_this_poll: usize = events.iter().map(bytes).sum();
-        (received, most_per_poll) = (received + in_this_poll, most_per_poll.max(in_this_poll));
+        (received, max_per_poll) = (received + in_this_poll, max_per_poll.max(in_this_poll));
     }
     assert!(
-        most_per_poll <= MAX_READ_PER_POLL + MAX_READ_PER_CONNECTION + (64 << 10),
-        "{most_per_poll} in one poll"
+        max_per_poll <= MAX_READ_PER_POLL + MAX_READ_PER_CONNECTION + (64 << 10),
+        "{max_per_poll} bytes read in one poll"
     );
-    assert!(most_per_poll > MAX_READ_PER_POLL, "the bound was never met: {most_per_poll}");
+    assert!(max_per_poll > MAX_READ_PER_POLL, "the limit was never reached: {max_per_poll} bytes");
 }
 
 #[test]
-fn lingering_connections_are_bounded_in_number_time_and_bytes() {
+fn lingering_connections_are_limited_in_number_and_time_even_if_a_peer_keeps_sending() {
     let mut net = Net::new().unwrap();
     let (_, address) = net.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut clients: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(address).unwrap()).collect();
@@ -195,7 +197,7 @@
     });
     servers.iter().for_each(|conn| net.close_after_flush(*conn));
     assert_eq!(net.lingering_count(), DEFAULT_MAX_LINGERING);
-    // The last one sends without end, of which nothing is read; the rest are silent. All are closed when their time is over.
+    // The last client sends continuously and none of it is read; the others are silent. All are closed at their timeout.
     clients[39].set_write_timeout(Some(Duration::from_secs(5))).unwrap();
     let mut last = clients.pop().unwrap();
     let sender = std::thread::spawn(move || while last.write_all(&[7; 64 << 10]).is_ok() {});
