--- a/crates/engine/src/command.rs
+++ b/crates/engine/src/command.rs
@@ -1,59 +1,60 @@
-//! What the engine asks of the gateway that drives it.
+//! Commands from the engine to the gateway that drives it.
 
 use crate::message::{Attempt, FinalOutcome};
 use cloverstile::{EndpointId, MessageId};
 
-/// Something for the gateway to do, in the order given.
+/// An operation for the gateway to carry out. Commands are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send one request: these attempts, one after another on one connection.
+    /// Send one request that carries these attempts, one after another on one connection.
     Send {
-        /// The endpoint to send it to.
+        /// The endpoint that receives the request.
         endpoint: EndpointId,
-        /// The attempts, in this order.
+        /// The attempts, in the order in which they are sent.
         attempts: Vec<Attempt>,
     },
-    /// Nobody waits for this attempt any longer: close its connection. Report no end of it.
+    /// Close the connection of an attempt whose response is no longer awaited. The gateway must not report its
+    /// completion.
     Abandon {
-        /// The attempt.
+        /// The attempt to abandon.
         attempt: Attempt,
-        /// It was started, as far as the engine knows: it may have run.
+        /// Whether the attempt was started, as far as the engine knows, and so may have taken effect.
         started: bool,
     },
-    /// The final outcome of a message. Comes once.
+    /// Report the final outcome of a message. Issued exactly once per message.
     Complete {
-        /// The message.
+        /// The completed message.
         message: MessageId,
-        /// Its outcome.
+        /// Its final outcome.
         outcome: FinalOutcome,
-        /// Attempts made, those that were not started included.
+        /// Number of attempts made, including those that were not started.
         attempts: u32,
     },
-    /// A partner's receipt came for a message that has its final outcome already: for the audit trail.
+    /// Record in the audit trail that a partner's receipt arrived after the message's final outcome.
     LateReceipt {
-        /// The message.
+        /// The message that the receipt belongs to.
         message: MessageId,
-        /// The outcome that it has and keeps.
+        /// The message's final outcome, which the receipt does not change.
         outcome: FinalOutcome,
     },
-    /// A message's outcome is no longer cached: release all that is kept for it.
+    /// Release everything kept for a message, as the engine no longer holds its record.
     Evicted {
-        /// The message.
+        /// The message that the engine removed.
         message: MessageId,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         endpoint: EndpointId,
     },
-    /// Open a connection, close it and report whether it opened with [`crate::Engine::on_probe_completed`].
+    /// Open a connection, close it again and report the result with [`crate::Engine::on_probe_completed`].
     Probe {
         /// The endpoint to connect to.
         endpoint: EndpointId,
     },
-    /// A log line for the operators.
+    /// Write a log line for operators.
     Log {
-        /// Its text.
+        /// The text of the log line.
         text: String,
     },
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,11 +1,11 @@
-//! The engine as gateways use it: submissions, events of the transport, time.
+//! The engine's interface for gateways: submissions, transport events and the passing of time.
 
 use crate::command::Command;
 use crate::message::{Admission, Attempt, FinalOutcome, SubmitRequest, TransportOutcome};
 use crate::message_record::MessageRecord;
 use crate::policy_turn;
 use crate::results::{Counters, ResultCacheLimits};
-use crate::state::{AttemptEnd, EngineState};
+use crate::state::{AttemptResult, EngineState};
 use cloverstile::{
     AttemptOutcome, DestinationId, Effect, Endpoint, EndpointId, Event, MessageId, RateLimitStatus,
     RecoveredAttempts, Settings, Submission, Time,
@@ -13,63 +13,66 @@
 use cloverstile_failover::{FailoverPolicy, TierStatus};
 use std::time::Duration;
 
-/// A message table around one delivery policy.
+/// Holds the messages of one gateway instance and runs the delivery policy on them.
 pub struct Engine {
     state: EngineState,
-    /// No submission is admitted any more; at this time all pending messages are completed.
+    /// Set once shutdown has begun: no submission is admitted any more, and at this time all pending messages are
+    /// completed.
     shutdown_deadline: Option<Time>,
 }
 
 impl Engine {
-    /// An engine that holds no message; `seed` is the policy's only source of randomness.
+    /// Creates an engine without messages; `seed` is the policy's only source of randomness.
     pub fn new(settings: Settings, cache_limits: ResultCacheLimits, seed: u64) -> Self {
         Engine { state: EngineState::new(settings, cache_limits, seed), shutdown_deadline: None }
     }
 
-    /// The same engine with a failover policy for partners with several tiers.
+    /// Sets the failover policy, which selects among the tiers of partners that have several.
     pub fn with_failover_policy(mut self, failover: impl FailoverPolicy + 'static) -> Self {
         self.state.failover = Box::new(failover);
         self
     }
 
-    /// The status of each of a partner's tiers, the preferred one first; empty where it has only one.
+    /// The status of each tier of a partner, the preferred tier first; empty if the partner has only one tier.
     pub fn tier_statuses(&self, partner: DestinationId) -> Vec<TierStatus> {
         self.state.failover.tier_statuses(partner)
     }
 
-    /// Running totals.
+    /// Totals since the engine was created.
     pub fn counters(&self) -> Counters {
         self.state.counters
     }
 
-    /// Messages without a final outcome.
+    /// Number of messages without a final outcome.
     pub fn pending_messages(&self) -> usize {
         self.state.messages.pending()
     }
 
-    /// Requests in flight.
+    /// Number of requests with at least one attempt in flight.
     pub fn requests_in_flight(&self) -> usize {
         self.state.requests.len()
     }
 
     // ---- Messages ----
 
-    /// Submits a message; one that is known already is not admitted twice.
+    /// Submits a message. A message whose idempotency key is already known is not admitted a second time, unless it was
+    /// rejected and has no attempt in flight.
     pub fn submit(&mut self, now: Time, request: SubmitRequest) -> Admission {
         let known = self.message_id(&request.idempotency_key);
         let Some((id, record)) = known.and_then(|id| Some((id, self.state.messages.get(id)?))) else {
             return self.admit(now, &request);
         };
         self.state.counters.duplicates += 1;
-        // One key with other content is another intention: nobody can say which was meant. The partner sees the key
-        // alone, so that another client's message under it would be dropped there as a duplicate.
+        // An idempotency key reused for other content is ambiguous: either message may be the intended one. The key
+        // must also be unique across clients, because the partner sees only the key and would drop another client's
+        // message under it as a duplicate.
         if record.fingerprint != request.fingerprint || record.client != request.client {
             return Admission::Conflict;
         }
         match record.outcome {
             None => Admission::InFlight(id),
-            // The rejection permits the client to resubmit, and so it does. While an earlier attempt is still in flight (a
-            // safe message may be rejected then) a second one must not go beside it.
+            // A rejection permits the client to resubmit. A safe message may be rejected while an attempt is still in
+            // flight; until that attempt ends, a second one must not run concurrently with it.
             Some(FinalOutcome::Rejected(_)) if record.in_flight.is_none() => {
                 self.state.remove(id);
                 self.admit(now, &SubmitRequest { resubmitted: true, ..request })
@@ -86,8 +89,8 @@
             return Admission::Overloaded;
         }
         let id = self.state.insert(request);
-        // What a lost instance held may have taken effect there. An unsafe message must not go again; the policy is
-        // never asked.
+        // A message held by a lost gateway instance may have taken effect. An unsafe one must not be sent again, so it
+        // fails without involving the policy. A message of an unknown class is treated as unsafe.
         let class = self.state.settings.classes.get(usize::from(request.class.0));
         if request.from_lost_instance && class.is_none_or(|class| class.effect == Effect::Unsafe) {
             self.state.complete(now, id, FinalOutcome::Failed);
@@ -101,15 +104,16 @@
         Admission::New(id)
     }
 
-    /// An earlier process has ended, whose attempts may still run. Call it before all else.
+    /// Notifies the policy that an earlier process ended and that its attempts may still be running. Must be called
+    /// before any other event is reported.
     pub fn on_restarted(&mut self, now: Time) {
         self.state.notify_policy(now, Event::Restarted);
     }
 
-    /// Adds a message that was admitted before a restart and is still pending. Call it in the order of admission, behind
-    /// [`Engine::on_restarted`].
+    /// Adds a message that was admitted before a restart and is still pending. Must be called after
+    /// [`Engine::on_restarted`], in the order of admission.
     pub fn recover(&mut self, now: Time, request: SubmitRequest, recovered: RecoveredAttempts) -> MessageId {
-        // Nothing is final at once for one whose deadline passed meanwhile: the policy gives the outcome.
+        // A message whose deadline passed in the meantime is not completed here; the policy decides its outcome.
         let deadline = request.deadline.max(now);
         let id = self.state.insert(&SubmitRequest { deadline, ..request });
         if let Some(record) = self.state.messages.get_mut(id) {
@@ -124,49 +128,51 @@
         id
     }
 
-    /// Cancels a message: no outcome is owed for it, and no further attempt is made.
+    /// Cancels a pending message: no further attempt is made, and nobody waits for its outcome.
     pub fn cancel(&mut self, now: Time, id: MessageId) {
         self.state.complete_without_policy(now, id, FinalOutcome::Cancelled);
     }
 
-    /// Rejects a message that was just admitted and can't be kept after all; the client may resubmit it under its key.
+    /// Rejects a message that was just admitted but can't be stored. The client may resubmit it under the same
+    /// idempotency key.
     pub fn reject(&mut self, now: Time, id: MessageId) {
         self.state.complete_without_policy(now, id, FinalOutcome::Rejected(Duration::ZERO));
     }
 
-    /// The message that an idempotency key stands for, while it is known.
+    /// The message with this idempotency key; `None` if it is unknown or was removed.
     pub fn message_id(&self, idempotency_key: &str) -> Option<MessageId> {
-        self.state.messages.id_of_key(idempotency_key)
+        self.state.messages.id_by_idempotency_key(idempotency_key)
     }
 
-    /// The idempotency key of a message, while it is known.
+    /// The idempotency key of a message; `None` if it is unknown or was removed.
     pub fn idempotency_key(&self, id: MessageId) -> Option<&str> {
         self.state.messages.get(id).map(|record| record.idempotency_key.as_str())
     }
 
-    /// Whether a message has no final outcome yet: nothing may be sent for it afterwards.
+    /// Whether a message is known and has no final outcome. Nothing may be sent for a message that is not pending.
     pub fn is_pending(&self, id: MessageId) -> bool {
         self.state.messages.is_pending(id)
     }
 
     // ---- Attempts ----
 
-    /// When an attempt in flight times out.
+    /// When an attempt times out; `None` if it is not in flight.
     pub fn attempt_deadline(&self, attempt: Attempt) -> Option<Time> {
         let record = self.state.messages.get(attempt.message).filter(|_| self.state.is_in_flight(attempt))?;
         record.in_flight.map(|in_flight| in_flight.deadline)
     }
 
-    /// Whether an attempt may still go that was decided on earlier: ask before its first byte, and again before its
-    /// last. Guards against all that comes between decision and bytes: `Retry-After`, draining, an outage, the end of
-    /// a retry window, a shutdown. One that may not ends as [`TransportOutcome::NotStarted`].
+    /// Whether a scheduled attempt may still be sent. Check this before its first byte is written, and again before its
+    /// last. It catches anything that happened since the policy decided on the attempt: `Retry-After`, draining, an
+    /// outage, the end of a retry window or a shutdown. An attempt that may not be sent must be reported as
+    /// [`TransportOutcome::NotStarted`].
     pub fn may_send_now(&self, now: Time, attempt: Attempt) -> bool {
         let may_send = self.state.is_in_flight(attempt) && !self.state.sending_paused;
         may_send && self.state.policy.may_send_now(now, self.state.messages.policy_id(attempt.message))
     }
 
-    /// Whether an attempt's bytes are on their way; a transport that never reports this counts as started from its
-    /// [`Command::Send`] on.
+    /// Reports whether the transport has started to send an attempt. Without a report, an attempt counts as started
+    /// from its [`Command::Send`] on.
     pub fn set_attempt_started(&mut self, attempt: Attempt, started: bool) {
         if !self.state.is_in_flight(attempt) {
             return;
@@ -177,7 +183,7 @@
         }
     }
 
-    /// An attempt ended on the transport, with what the partner said of its rate limit.
+    /// Reports that an attempt ended on the transport, with the rate limit status that the partner sent, if any.
     pub fn on_attempt_completed(
         &mut self,
         now: Time,
@@ -189,50 +195,51 @@
             if outcome == TransportOutcome::Obsolete {
                 self.cancel(now, attempt.message);
             }
-            let end = AttemptEnd { outcome: outcome.attempt_outcome(), rate_limit };
-            self.state.finish_attempt(now, attempt.message, end);
+            let result = AttemptResult { outcome: outcome.attempt_outcome(), rate_limit };
+            self.state.finish_attempt(now, attempt.message, result);
         } else if outcome == TransportOutcome::Processed {
             self.on_late_receipt(now, attempt.message);
         }
     }
 
-    /// A valid receipt came on a connection of its own, perhaps after its attempt was abandoned.
+    /// Reports a valid receipt that arrived on a separate connection, possibly after its attempt was abandoned.
     pub fn on_receipt(&mut self, now: Time, message: MessageId, outcome: TransportOutcome) {
         let Some(record) = self.state.messages.get(message) else { return };
         if record.in_flight.is_some() {
-            let attempt = Attempt { message, number: record.last_attempt() };
+            let attempt = Attempt { message, number: record.last_attempt_number() };
             self.on_attempt_completed(now, attempt, outcome, None);
         } else if outcome == TransportOutcome::Processed {
             self.on_late_receipt(now, message);
         }
     }
 
-    /// A receipt proves that a message took effect though its attempt was abandoned.
+    /// Handles a receipt that proves that a message took effect after its attempt was abandoned.
     fn on_late_receipt(&mut self, now: Time, message: MessageId) {
         let Some(record) = self.state.messages.get(message) else { return };
         match record.outcome {
             Some(FinalOutcome::Delivered) => {}
             Some(outcome) => self.state.commands.push(Command::LateReceipt { message, outcome }),
-            // The policy is done with it: what is in flight runs on, nothing new is sent.
+            // The policy is told that the message is cancelled: an attempt in flight continues, and no new one is
+            // sent.
             None => self.state.complete_without_policy(now, message, FinalOutcome::Delivered),
         }
     }
 
     // ---- Endpoints ----
 
-    /// A response's head carries `Retry-After`. It binds though the response may never be whole, and nobody waits for
-    /// it.
+    /// Reports a `Retry-After` header as soon as the response head is read. It applies even if the rest of the response
+    /// never arrives or is no longer awaited.
     pub fn on_retry_after(&mut self, now: Time, endpoint: EndpointId, wait: Duration) {
         self.state.notify_policy(now, Event::RetryAfter { endpoint, wait });
     }
 
-    /// Replaces the whole endpoint list.
+    /// Replaces the whole endpoint list and notifies the policy of it.
     pub fn update_endpoints(&mut self, now: Time, endpoints: Vec<Endpoint>) {
         self.state.endpoints.replace(endpoints);
         self.state.notify_endpoint_snapshot(now);
     }
 
-    /// A probe ended: whether its connection opened, and how long that took.
+    /// Reports the result of a [`Command::Probe`]: whether the connection opened, and how long that took.
     pub fn on_probe_completed(&mut self, now: Time, endpoint: EndpointId, opened: bool, latency: Duration) {
         let outcome = if opened { AttemptOutcome::Ok } else { AttemptOutcome::ConnectFailed };
         self.state.notify_policy(now, Event::ProbeCompleted { endpoint, outcome, latency });
@@ -240,49 +247,50 @@
 
     // ---- Time ----
 
-    /// Pauses or resumes sending: while paused nothing new is sent, attempts in flight end as ever.
+    /// Pauses or resumes sending. While paused, no new attempt is sent; attempts in flight end as usual.
     pub fn set_sending_paused(&mut self, paused: bool) {
         self.state.sending_paused = paused;
         self.state.has_policy_events = true;
     }
 
-    /// Whether sending is paused.
+    /// Whether [`Engine::set_sending_paused`] has paused sending.
     pub fn is_sending_paused(&self) -> bool {
         self.state.sending_paused
     }
 
-    /// Whether the policy has something to act on that happened since [`Engine::advance`].
+    /// Whether the policy has events that it has not acted on since the last [`Engine::advance`]. False while sending
+    /// is paused.
     pub fn has_pending_events(&self) -> bool {
         self.state.has_policy_events && !self.state.sending_paused
     }
 
-    /// Admits nothing from now on; at `deadline` all pending messages are completed, as far as their outcome is known.
-    /// The first call counts.
+    /// Starts the shutdown: no submission is admitted any more, and at `deadline` all pending messages are completed
+    /// with the outcome that is known by then. Later calls have no effect.
     pub fn shut_down_by(&mut self, deadline: Time) {
         self.shutdown_deadline.get_or_insert(deadline);
     }
 
-    /// When [`Engine::advance`] must be called at the latest.
+    /// The latest time at which [`Engine::advance`] must be called; `None` if nothing is scheduled.
     pub fn next_timeout(&self) -> Option<Time> {
         let timeouts = [
             self.state.failover.next_timeout(),
-            self.state.policy_timers.next_at(),
+            self.state.policy_timers.next_deadline(),
             self.state.requests.next_timeout(),
-            self.state.fallback_completions.next_at(),
+            self.state.fallback_completions.next_deadline(),
             self.shutdown_deadline.filter(|_| self.pending_messages() > 0),
         ];
         timeouts.into_iter().flatten().min()
     }
 
-    /// Ends the attempts whose time is over, and returns what is to be done for that. Call it ahead of the events of a poll
-    /// where a response behind that time counts for nothing: an attempt that is over takes none.
+    /// Times out the attempts that are due and returns the resulting commands. Call this before handling the events of
+    /// a poll if a response that arrives after the time-out must be ignored: a timed-out attempt accepts no response.
     pub fn time_out_attempts(&mut self, now: Time) -> Vec<Command> {
         self.state.time_out_attempts(now);
         std::mem::take(&mut self.state.commands)
     }
 
-    /// Lets the policy act on all that happened up to `now`, and returns what is to be done. Call it after every batch
-    /// of events and at [`Engine::next_timeout`].
+    /// Lets the policy act on everything that happened up to `now` and returns the resulting commands. Call this after
+    /// every batch of events and at [`Engine::next_timeout`].
     pub fn advance(&mut self, now: Time) -> Vec<Command> {
         let state = &mut self.state;
         while let Some(token) = state.policy_timers.pop_due(now) {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,43 +1,44 @@
-//! Keeps the table of messages, feeds the delivery policy with events and turns its actions into commands. Free of I/O
-//! and clocks.
+//! Keeps the message table, passes events to the delivery policy and turns the policy's actions into commands. The
+//! crate performs no I/O and reads no clock.
 //!
-//! The policy ([`cloverstile::DeliveryPolicy`]) decides which message goes where and when, and its final outcome. The
-//! engine translates, keeps one idempotency key through all attempts, and sees to it that each message gets exactly one
-//! final outcome. A gateway calls [`Engine::advance`] after each batch of events and carries out its [`Command`]s.
+//! The policy ([`cloverstile::DeliveryPolicy`]) decides when and to which endpoint each message is sent, and what its
+//! final outcome is. The engine translates between the policy and the gateway, keeps one idempotency key across all
+//! attempts, and ensures that each message gets exactly one final outcome. A gateway calls [`Engine::advance`] after
+//! each batch of events and carries out the returned [`Command`]s.
 //!
-//! | action of the policy | becomes |
+//! | policy action | result |
 //! | --- | --- |
-//! | `Action::Send` | [`Command::Send`]; consecutive sends of one round to one endpoint share a request as far as the kind's `max_batch` allows. Without a free slot, a pending message or an attempt left: `Event::AttemptCompleted` with `AttemptOutcome::Unsent` at once |
+//! | `Action::Send` | [`Command::Send`]; consecutive sends to one endpoint in one batch of actions share a request, up to the `max_batch` of the endpoint's kind. If the endpoint does not accept requests, no slot is free, the message is not pending or no attempt is left: an immediate `Event::AttemptCompleted` with `AttemptOutcome::Unsent` |
 //! | `Action::Reject` | [`Command::Complete`] with [`FinalOutcome::Rejected`] |
 //! | `Action::Fail` | [`Command::Complete`] with [`FinalOutcome::Failed`] |
-//! | `Action::AbandonAttempt` | [`Command::Abandon`], and `Event::AttemptCompleted` with `AttemptOutcome::Abandoned` at once |
-//! | `Action::SetTimer` | part of [`Engine::next_timeout`], then `Event::TimerFired` |
+//! | `Action::AbandonAttempt` | [`Command::Abandon`], and an immediate `Event::AttemptCompleted`: with `AttemptOutcome::Abandoned`, or with `AttemptOutcome::ConnectFailed` if the attempt was not started |
+//! | `Action::SetTimer` | taken into account by [`Engine::next_timeout`], then `Event::TimerFired` |
 //! | `Action::CloseIdle` | [`Command::CloseIdle`] |
-//! | `Action::Probe` | [`Command::Probe`]: a connection opened and closed; `Event::ProbeCompleted` says whether it opened |
-//! | `Action::SendPeerMessage` | nothing: instances share nothing |
+//! | `Action::Probe` | [`Command::Probe`]: a connection is opened and closed; `Event::ProbeCompleted` reports whether it opened |
+//! | `Action::SendPeerMessage` | ignored: gateway instances do not communicate with each other |
 //! | `Action::Log` | [`Command::Log`] |
-//! | `Action::SubscribeEndpoints`, `Action::RefreshEndpoints` | `Event::EndpointsUpdated` with a snapshot of the list held; changes come without a subscription |
+//! | `Action::SubscribeEndpoints`, `Action::RefreshEndpoints` | `Event::EndpointsUpdated` with a snapshot of the current list; later changes are reported without a subscription |
 //!
-//! | event for the policy | comes from |
+//! | policy event | source |
 //! | --- | --- |
-//! | `Event::EndpointsUpdated` | [`Engine::update_endpoints`]: a new version of the endpoint list; a recovery gate that opened or closed |
-//! | `Event::Submitted` | [`Engine::submit`], where nothing under that idempotency key is known; a message that changed its tier |
+//! | `Event::EndpointsUpdated` | [`Engine::update_endpoints`]: a new version of the endpoint list; a recovery gate that opened, closed or was removed |
+//! | `Event::Submitted` | [`Engine::submit`] of a message that is newly admitted; a message that moved to another tier |
 //! | `Event::Restarted` | [`Engine::on_restarted`] |
 //! | `Event::Recovered` | [`Engine::recover`] |
-//! | `Event::AttemptCompleted` | [`Engine::on_attempt_completed`], an attempt's time-out, `Action::AbandonAttempt`, a send that could not be carried out |
+//! | `Event::AttemptCompleted` | [`Engine::on_attempt_completed`], the time-out of an attempt, `Action::AbandonAttempt`, an `Action::Send` that could not be carried out |
 //! | `Event::RetryAfter` | [`Engine::on_retry_after`] |
-//! | `Event::Cancelled` | a message completed by the engine itself: cancelled or rejected by the gateway, proved delivered by a late receipt, or pending at the end of a shutdown; a message that changes its tier. A client's lost connection is none: the client resubmits to get its outcome |
+//! | `Event::Cancelled` | a message that was completed without the policy: cancelled or rejected by the gateway, shown to be delivered by a late receipt, still pending at the end of a shutdown, or not completed by the policy in time; a message that moves to another tier. The loss of a client's connection does not cancel its messages: the client resubmits to get the outcome |
 //! | `Event::TimerFired` | [`Engine::advance`] |
 //! | `Event::ProbeCompleted` | [`Engine::on_probe_completed`] |
-//! | `Event::FirstByte`, `Event::PeerMessageReceived` | never: responses are not streamed, instances send each other no messages |
+//! | `Event::FirstByte`, `Event::PeerMessageReceived` | never: responses are not streamed, and gateway instances send each other no messages |
 //!
-//! Modules, each of which uses only those above it:
+//! Modules; each one uses only those listed before it:
 //!
 //! - `deadlines`, `message`, `command`: basic types.
-//! - `requests`, `results`, `message_record`, `message_table`, `endpoint_table`: state, each of one kind.
-//! - `migration`: tiers of messages.
-//! - `state`: all state of an engine and the steps that its parts share.
-//! - `policy_turn`: the policy's actions.
+//! - `requests`, `results`, `message_record`, `message_table`, `endpoint_table`: one part of the state each.
+//! - `migration`: assignment of messages to tiers.
+//! - `state`: the complete state of an engine, and the operations that involve several of its parts.
+//! - `policy_turn`: execution of the policy's actions.
 //! - `engine`: the interface for gateways.
 #![forbid(unsafe_code)]
 
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,4 +1,4 @@
-//! Message types that gateways and the engine exchange: submissions, attempts, outcomes.
+//! Message types exchanged between gateways and the engine: submissions, attempts and outcomes.
 
 use cloverstile::{AttemptOutcome, ClassId, DestinationId, MessageId, OrderKey, TenantId, Time};
 use std::time::Duration;
@@ -6,90 +6,91 @@
 /// A message as a gateway submits it.
 #[derive(Clone, Debug)]
 pub struct SubmitRequest {
-    /// The client that submits it, by the gateway's numbering.
+    /// The submitting client, as numbered by the gateway.
     pub client: u32,
-    /// Its idempotency key from submission to receipt; in AS2 its `Message-ID`.
+    /// The idempotency key that identifies the message from submission to receipt; the `Message-ID` in AS2.
     pub idempotency_key: String,
-    /// Digest of its content: one key with other content is a client's mistake.
+    /// Digest of the content, used to detect an idempotency key that is reused for other content.
     pub fingerprint: [u8; 32],
-    /// Its class.
+    /// The message's class, an index into [`cloverstile::Settings::classes`].
     pub class: ClassId,
-    /// The partner that it is for, named by the destination of its preferred tier.
+    /// The receiving partner, identified by the destination of its preferred tier.
     pub destination: DestinationId,
-    /// The key within which order is kept, for classes that are delivered in order.
+    /// Messages with the same order key are delivered in order, if their class is ordered.
     pub order_key: Option<OrderKey>,
-    /// When it expires.
+    /// When the message expires.
     pub deadline: Time,
-    /// The tenant to whose quota it counts.
+    /// The tenant whose quota the message counts against.
     pub tenant: TenantId,
-    /// The client marked it as resubmitted after a rejection.
+    /// Whether the client marked the message as resubmitted after a rejection.
     pub resubmitted: bool,
-    /// The client marked it as resubmitted after the instance that held it was lost: it may have run.
+    /// Whether the client marked the message as resubmitted after the loss of the gateway instance that held it. It may
+    /// already have taken effect.
     pub from_lost_instance: bool,
 }
 
-/// How a submission was received.
+/// The result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is admitted; a final outcome will come.
+    /// The message is admitted; its final outcome follows in [`crate::Command::Complete`].
     New(MessageId),
-    /// The same message is pending already; its one outcome is for this submission too.
+    /// The same message is already pending; its final outcome also answers this submission.
     InFlight(MessageId),
-    /// The message has this final outcome, which stays.
+    /// The message was completed earlier with this final outcome, which does not change.
     Completed(MessageId, FinalOutcome),
-    /// The idempotency key was used for other content; nothing is done.
+    /// The idempotency key was used for other content or by another client; the submission is ignored.
     Conflict,
-    /// The engine holds as many messages as it may; nothing is done, and the client may resubmit.
+    /// The number of pending messages is at its limit; the submission is ignored, and the client may resubmit.
     Overloaded,
-    /// The instance shuts down; nothing is done, and the client may resubmit.
+    /// The gateway instance is shutting down; the submission is ignored, and the client may resubmit.
     ShuttingDown,
 }
 
-/// The one final outcome of a message.
+/// The final outcome of a message. Each message gets exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// The partner's own receipt confirms the delivery.
+    /// The partner's receipt confirms that the message was processed.
     Delivered,
-    /// It never took effect; resubmitting it is safe, best after this time.
+    /// The message did not take effect. It may be resubmitted, preferably after this time.
     Rejected(Duration),
-    /// It may have taken effect.
+    /// The message may have taken effect.
     Failed,
-    /// It was cancelled: no outcome is owed to anybody.
+    /// The message was cancelled: nobody waits for its outcome.
     Cancelled,
 }
 
-/// One attempt of one message.
+/// Identifies one attempt to send a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
-    /// The message.
+    /// The message that the attempt sends.
     pub message: MessageId,
-    /// The attempt's number, from 0.
+    /// The number of the attempt among those of its message, starting at 0.
     pub number: u16,
 }
 
-/// How an attempt ended, as far as the transport can tell; the engine itself keeps the time-outs.
+/// How an attempt ended, as reported by the transport. Time-outs are detected by the engine itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TransportOutcome {
-    /// The partner's receipt says processed, and all of it is valid.
+    /// The partner sent a valid receipt that reports the message as processed.
     Processed,
-    /// A receipt of another kind, a response that is none, or an invalid receipt.
+    /// The receipt reports anything else or is invalid, or the response is not a receipt.
     Error,
-    /// Rejected unprocessed, with the `Retry-After` time if there was one.
+    /// The partner rejected the message without processing it, with the `Retry-After` time if it sent one.
     Rejected(Option<Duration>),
-    /// No connection came up; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
-    /// The connection broke after something was sent.
+    /// The connection broke after part of the request was sent.
     Reset,
-    /// Nothing was sent, as an earlier message of the same request broke its connection.
+    /// Nothing was sent, because an earlier message of the same request broke the connection.
     Unsent,
-    /// Nothing was done, and the message is over: cancelled, or expired. No outcome is owed.
+    /// Not processed, because the message was cancelled or has expired. Nobody waits for its outcome.
     Obsolete,
-    /// Nothing was started, as [`crate::Engine::may_send_now`] forbade it. It counts as no attempt.
+    /// Not sent, because [`crate::Engine::may_send_now`] returned false. It does not count as an attempt.
     NotStarted,
 }
 
 impl TransportOutcome {
-    /// The outcome as the policy gets it.
+    /// The corresponding outcome in the policy's terms.
     pub(crate) fn attempt_outcome(self) -> AttemptOutcome {
         match self {
             TransportOutcome::Processed => AttemptOutcome::Ok,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The `Retry-After` time that came with a rejection.
+    /// The `Retry-After` time of a rejection, if the partner sent one.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             TransportOutcome::Rejected(wait) => wait,
--- a/crates/engine/src/message_record.rs
+++ b/crates/engine/src/message_record.rs
@@ -1,4 +1,4 @@
-//! What the engine keeps of one message, from its submission until its outcome is evicted.
+//! The engine's record of one message, kept from its submission until its outcome is evicted.
 
 use crate::message::{FinalOutcome, SubmitRequest};
 use crate::requests::InFlightAttempt;
@@ -9,37 +9,38 @@
 
 /// The state of one message.
 pub(crate) struct MessageRecord {
-    /// The id by which the policy knows it.
+    /// The id under which the policy knows the message; see [`crate::message_table`].
     pub policy_id: MessageId,
-    /// Attempt numbers used up before the policy's numbering of this message began.
+    /// Offset between the engine's attempt numbers and the policy's: the attempts made before the policy's numbering
+    /// of this message began, plus those that were not started since.
     pub policy_attempt_offset: u16,
     pub class: ClassId,
-    /// The destination that it was submitted for.
+    /// The destination that the message was submitted for, which is the partner's preferred tier.
     pub partner: DestinationId,
-    /// Which of the partner's tiers it waits for.
+    /// The tier of the partner to which the message is assigned.
     pub tier: DestinationId,
-    /// It has not yet been counted towards the share that may leave this tier.
-    pub spill_undecided: bool,
+    /// The message has not yet been counted towards the share of messages that may leave this tier.
+    pub spill_uncounted: bool,
     pub order_key: Option<OrderKey>,
     pub tenant: TenantId,
     pub client: u32,
     pub idempotency_key: String,
     pub fingerprint: [u8; 32],
     pub deadline: Time,
-    /// Attempt numbers used, those of attempts that were not started included.
+    /// Number of attempts, including those that were not started.
     pub attempts: u16,
-    /// Attempts that were not started; they do not count towards the limit.
+    /// Number of attempts that were not started; they do not count towards the limit.
     pub not_started: u16,
     pub in_flight: Option<InFlightAttempt>,
-    /// Some attempt may have taken effect.
+    /// An earlier attempt may have taken effect, including one of a lost gateway instance or of an earlier process.
     pub may_have_run: bool,
     pub outcome: Option<FinalOutcome>,
-    /// Its outcome has left the result cache; the record goes once no attempt is in flight.
+    /// The outcome has been evicted from the result cache; the record is removed once no attempt is in flight.
     pub evicted: bool,
 }
 
 impl MessageRecord {
-    /// The record of a message that has just been submitted.
+    /// Creates the record of a message that has just been submitted.
     pub fn new(id: MessageId, request: &SubmitRequest) -> Self {
         MessageRecord {
             policy_id: id,
@@ -47,7 +48,7 @@
             class: request.class,
             partner: request.destination,
             tier: request.destination,
-            spill_undecided: true,
+            spill_uncounted: true,
             order_key: request.order_key,
             tenant: request.tenant,
             client: request.client,
@@ -63,41 +64,42 @@
         }
     }
 
-    /// The settings of its class; none where they name no such class.
+    /// The settings of the message's class; `None` if the class is not configured.
     pub fn class_settings<'a>(&self, settings: &'a Settings) -> Option<&'a Class> {
         settings.classes.get(usize::from(self.class.0))
     }
 
-    /// The priority weight of its class; zero where the settings name no such class.
+    /// The priority weight of the message's class; zero if the class is not configured.
     pub fn priority_weight(&self, settings: &Settings) -> f64 {
         self.class_settings(settings).map_or(0.0, |class| class.priority_weight)
     }
 
-    /// Its order key, if its class is delivered in order.
+    /// The message's order key, if its class is delivered in order.
     pub fn ordering_key(&self, settings: &Settings) -> Option<OrderKey> {
         let ordered = self.class_settings(settings).is_some_and(|class| class.ordered);
         self.order_key.filter(|_| ordered)
     }
 
-    /// The number of its latest attempt; zero before the first.
-    pub fn last_attempt(&self) -> u16 {
+    /// The number of the latest attempt; zero before the first.
+    pub fn last_attempt_number(&self) -> u16 {
         self.attempts.saturating_sub(1)
     }
 
-    /// Attempts that count towards the limit.
+    /// Number of attempts that count towards the limit.
     pub fn counted_attempts(&self) -> u32 {
         u32::from(self.attempts.saturating_sub(self.not_started))
     }
 
-    /// Whether it is neither completed nor in flight, and has an attempt left.
+    /// Whether the message is pending, has no attempt in flight and has an attempt left.
     pub fn may_attempt(&self, settings: &Settings) -> bool {
         self.outcome.is_none() && self.in_flight.is_none() && self.counted_attempts() < settings.max_attempts
     }
 
-    /// Whether it may change its tier now; its place in the queue of its order key is looked at apart.
+    /// Whether the message may move to another tier now. Its position among messages with the same order key is checked
+    /// separately.
     ///
-    /// Never while an attempt is in flight; never an unsafe one that may have run; a keyed one that may have run only
-    /// where all tiers belong to one group that drops duplicates.
+    /// A message never moves while an attempt is in flight. If it may have run, an unsafe message never moves, and a
+    /// keyed one moves only if all tiers belong to one group that drops duplicates.
     pub fn may_migrate(&self, settings: &Settings) -> bool {
         let Some(class) = self.class_settings(settings) else { return false };
         let repeat_is_safe = match (self.may_have_run, class.effect) {
@@ -108,8 +110,8 @@
         repeat_is_safe && self.may_attempt(settings)
     }
 
-    /// The outcome where the policy is not asked: rejected only if nothing can have taken effect. An attempt that was
-    /// decided on and not sent can't.
+    /// The outcome of a message that is completed without the policy: rejected only if it can't have taken effect. An
+    /// attempt that was scheduled but not started can't have taken effect.
     pub fn outcome_without_policy(&self) -> FinalOutcome {
         if self.may_have_run || self.in_flight.is_some_and(|attempt| attempt.started) {
             FinalOutcome::Failed
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The submission as the policy gets it.
+    /// The submission that is passed to the policy.
     pub fn submission(&self) -> Submission {
         Submission {
             id: self.policy_id,
--- a/crates/engine/src/policy_turn.rs
+++ b/crates/engine/src/policy_turn.rs
@@ -1,4 +1,4 @@
-//! Runs the policy: its actions become commands and changes of the engine's state.
+//! Runs the policy and turns its actions into commands and changes of the engine's state.
 
 use crate::command::Command;
 use crate::message::{Attempt, FinalOutcome};
@@ -7,8 +7,8 @@
 use cloverstile::{Action, AttemptOutcome, EndpointId, MessageId, Time};
 use std::time::Duration;
 
-/// Lets the policy act until it has nothing left to act on: what an action leads to may end at once (a request without
-/// a free slot), which leads to more.
+/// Runs the policy until it has no events left to act on. An action may cause further events at once, such as a send
+/// for which no slot is free.
 pub(crate) fn run(state: &mut EngineState, now: Time) {
     while !state.sending_paused {
         state.notify_gate_changes(now);
@@ -17,27 +17,27 @@
         }
         let mut actions = Vec::new();
         state.policy.next_actions(now, &mut actions);
-        let mut turn = PolicyTurn { state: &mut *state, now, batch: None };
+        let mut executor = ActionExecutor { state: &mut *state, now, batch: None };
         for action in actions {
-            turn.execute(action);
+            executor.execute(action);
         }
-        turn.flush();
+        executor.flush();
     }
 }
 
-/// One round of actions of the policy.
-struct PolicyTurn<'a> {
+/// Executes the actions that one call of the policy returned.
+struct ActionExecutor<'a> {
     state: &'a mut EngineState,
     now: Time,
-    /// The request that is being filled; only sends that follow each other share one.
+    /// The request that is being filled. Only consecutive sends share a request.
     batch: Option<RequestBatch>,
 }
 
-impl PolicyTurn<'_> {
+impl ActionExecutor<'_> {
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send { message, endpoint, timeout } => {
-                let message = self.state.messages.id_of_policy_id(message);
+                let message = self.state.messages.id_by_policy_id(message);
                 self.send(message, endpoint, timeout);
             }
             Action::Reject { message, retry_after } => {
@@ -55,18 +55,18 @@
             Action::SubscribeEndpoints { .. } | Action::RefreshEndpoints => {
                 self.state.notify_endpoint_snapshot(self.now);
             }
-            // Instances exchange nothing.
+            // Gateway instances do not communicate with each other.
             Action::SendPeerMessage { .. } => {}
         }
     }
 
     fn complete(&mut self, policy_id: MessageId, outcome: FinalOutcome) {
-        let message = self.state.messages.id_of_policy_id(policy_id);
+        let message = self.state.messages.id_by_policy_id(policy_id);
         self.state.complete(self.now, message, outcome);
     }
 
     fn abandon(&mut self, policy_id: MessageId, policy_attempt: u16) {
-        let message = self.state.messages.id_of_policy_id(policy_id);
+        let message = self.state.messages.id_by_policy_id(policy_id);
         let offset = self.state.messages.get(message).map_or(0, |record| record.policy_attempt_offset);
         if self.state.is_in_flight(Attempt { message, number: policy_attempt + offset }) {
             self.flush();
@@ -74,39 +74,41 @@
         }
     }
 
-    /// Sends the request that is being filled.
+    /// Emits the command for the request that is being filled, if there is one.
     fn flush(&mut self) {
         if let Some(RequestBatch { endpoint, attempts, .. }) = self.batch.take() {
             self.state.commands.push(Command::Send { endpoint, attempts });
         }
     }
 
-    /// Adds an attempt to the request that is being filled, or to a new one; where it can't be sent, it ends at once.
+    /// Adds an attempt to the request that is being filled, or to a new one. An attempt that can't be sent ends at once
+    /// as unsent.
     fn send(&mut self, message: MessageId, endpoint: EndpointId, timeout: Duration) {
-        let accepts = self.state.endpoints.accepts_requests(endpoint, &*self.state.failover);
-        self.flush_unless_room(endpoint);
+        let endpoint_accepts = self.state.endpoints.accepts_requests(endpoint, &*self.state.failover);
+        self.flush_unless_batchable(endpoint);
         let has_slot =
             self.batch.is_some() || self.state.requests.len() < self.state.settings.concurrency_limit;
         let Some(record) = self.state.messages.get_mut(message) else { return };
         let may_attempt = record.may_attempt(&self.state.settings);
         let attempt = Attempt { message, number: record.attempts };
         record.attempts += 1;
-        if accepts && has_slot && may_attempt {
+        if endpoint_accepts && has_slot && may_attempt {
             self.add_to_batch(attempt, endpoint, timeout);
         } else {
-            let (latency, end) = (Duration::ZERO, AttemptOutcome::Unsent.into());
-            let ended = EndedAttempt { attempt, endpoint, latency, end };
+            let (latency, result) = (Duration::ZERO, AttemptOutcome::Unsent.into());
+            let ended = EndedAttempt { attempt, endpoint, latency, result };
             self.state.notify_attempt_ended(self.now, &ended);
         }
     }
 
-    /// Sends the request that is being filled if it goes elsewhere or holds as many attempts as the kind allows.
-    fn flush_unless_room(&mut self, endpoint: EndpointId) {
+    /// Flushes the request that is being filled if it is for another endpoint or has reached the `max_batch` of the
+    /// endpoint's kind.
+    fn flush_unless_batchable(&mut self, endpoint: EndpointId) {
         let kind = self.state.endpoints.get(endpoint).map(|endpoint| usize::from(endpoint.kind.0));
         let kind = kind.and_then(|kind| self.state.settings.kinds.get(kind));
         let max_batch = kind.map_or(1, |kind| kind.max_batch).max(1);
-        let has_room = |batch: &RequestBatch| batch.endpoint == endpoint && batch.attempts.len() < max_batch;
-        if !self.batch.as_ref().is_none_or(has_room) {
+        let can_join = |batch: &RequestBatch| batch.endpoint == endpoint && batch.attempts.len() < max_batch;
+        if !self.batch.as_ref().is_none_or(can_join) {
             self.flush();
         }
     }
@@ -127,7 +129,7 @@
             deadline: self.now + timeout,
             started: true,
         };
-        state.requests.start(attempt.message, &in_flight);
+        state.requests.add_attempt(attempt.message, &in_flight);
         if let Some(record) = state.messages.get_mut(attempt.message) {
             record.in_flight = Some(in_flight);
         }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,26 +1,26 @@
-//! Requests in flight: which attempts share one, and when each attempt times out.
+//! Requests in flight: the number of attempts in each request, and the time-out of each attempt.
 
 use crate::deadlines::DeadlineQueue;
 use crate::message::Attempt;
 use cloverstile::{EndpointId, MessageId, Time};
 use std::collections::BTreeMap;
 
-/// Identifies one request: one or more attempts that share a connection.
+/// Identifies a request, which carries one or more attempts on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestId(u64);
 
 /// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlightAttempt {
-    /// The request that carries it.
+    /// The request that carries the attempt.
     pub request: RequestId,
-    /// Where it was sent.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// When it was sent.
+    /// When the policy's send was carried out; the attempt's latency counts from here.
     pub sent_at: Time,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Time,
-    /// False while its bytes are known to wait: it can't have run.
+    /// False while the attempt is known not to have been written to a connection, so that it can't have run.
     pub started: bool,
 }
 
@@ -35,47 +35,47 @@
 #[derive(Default)]
 pub(crate) struct RequestsInFlight {
     last_id: u64,
-    /// Attempts that have not ended, by request. No entry is zero.
-    open_attempts: BTreeMap<RequestId, usize>,
+    /// Number of attempts in flight by request; entries are removed when they reach zero.
+    attempts_in_flight: BTreeMap<RequestId, usize>,
     timeouts: DeadlineQueue<MessageId>,
 }
 
 impl RequestsInFlight {
-    /// Requests that have an attempt in flight.
+    /// Number of requests that have an attempt in flight.
     pub fn len(&self) -> usize {
-        self.open_attempts.len()
+        self.attempts_in_flight.len()
     }
 
-    /// A new request's id.
+    /// Assigns the id of a new request.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    /// An attempt of a message was sent.
-    pub fn start(&mut self, message: MessageId, attempt: &InFlightAttempt) {
-        *self.open_attempts.entry(attempt.request).or_default() += 1;
+    /// Adds an attempt of a message that was sent.
+    pub fn add_attempt(&mut self, message: MessageId, attempt: &InFlightAttempt) {
+        *self.attempts_in_flight.entry(attempt.request).or_default() += 1;
         self.timeouts.insert(attempt.deadline, message);
     }
 
-    /// An attempt of a message ended.
-    pub fn finish(&mut self, message: MessageId, attempt: &InFlightAttempt) {
+    /// Removes an attempt of a message that ended, and its request if that was the last attempt in flight.
+    pub fn remove_attempt(&mut self, message: MessageId, attempt: &InFlightAttempt) {
         self.timeouts.remove(attempt.deadline, message);
-        if let Some(open) = self.open_attempts.get_mut(&attempt.request) {
-            *open -= 1;
-            if *open == 0 {
-                self.open_attempts.remove(&attempt.request);
+        if let Some(in_flight) = self.attempts_in_flight.get_mut(&attempt.request) {
+            *in_flight -= 1;
+            if *in_flight == 0 {
+                self.attempts_in_flight.remove(&attempt.request);
             }
         }
     }
 
-    /// Takes out the next message whose attempt has timed out.
+    /// Returns the next message whose attempt has timed out, and removes that time-out.
     pub fn pop_timed_out(&mut self, now: Time) -> Option<MessageId> {
         self.timeouts.pop_due(now)
     }
 
-    /// When the next attempt times out.
+    /// The earliest time at which an attempt times out.
     pub fn next_timeout(&self) -> Option<Time> {
-        self.timeouts.next_at()
+        self.timeouts.next_deadline()
     }
 }
