--- a/crates/resp-gateway/src/message_log.rs
+++ b/crates/resp-gateway/src/message_log.rs
@@ -5,7 +5,7 @@
 
 use cloverstile::{MessageId, Time};
 use cloverstile_wal::store::DirectoryStore;
-use cloverstile_wal::{LiveMessage, Log, Record, Recovered};
+use cloverstile_wal::{LiveMessage, Log, Record, RecoveredState};
 use std::io;
 use std::path::Path;
 use std::time::Duration;
@@ -35,14 +35,14 @@
 
 impl MessageLog {
     /// Opens the log in `directory`, limited to `max_bytes` on disk, and reads the records of an earlier process.
-    pub fn open(directory: &Path, max_bytes: u64) -> io::Result<(MessageLog, Recovered)> {
+    pub fn open(directory: &Path, max_bytes: u64) -> io::Result<(MessageLog, RecoveredState)> {
         let (log, recovered) = Log::open(DirectoryStore::new(directory), max_bytes)?;
         if let Some(reason) = &recovered.decode_error {
             warn!(bytes = recovered.discarded_bytes, %reason, "torn or damaged end of the log discarded");
         } else if recovered.discarded_bytes > 0 {
             warn!(bytes = recovered.discarded_bytes, "log without a readable header discarded");
         }
-        if let Some(error) = &recovered.leftovers {
+        if let Some(error) = &recovered.cleanup_error {
             warn!(%error, "file of an earlier log can't be removed, it does not count");
         }
         Ok((MessageLog { log, retry: None }, recovered))
--- a/crates/resp-gateway/src/message_record.rs
+++ b/crates/resp-gateway/src/message_record.rs
@@ -51,7 +51,7 @@
 /// endpoint since its start; `message` is updated to say so.
 pub fn recover(message: &mut LiveMessage, class: Option<&Class>) -> RecoveredSubmission {
     let open_attempt = message.open_attempt.take();
-    message.may_have_run = message.may_have_run.or(open_attempt);
+    message.first_possible_run = message.first_possible_run.or(open_attempt);
     let attempts = RecoveredAttempts {
         submitted_at: Time(message.submitted_at),
         attempts: u32::from(message.attempts),
@@ -75,7 +75,7 @@
 /// The start time and zone of the first attempt that may have run, sent by this gateway instance or by a lost one.
 fn first_possible_run(message: &LiveMessage, class: Option<&Class>) -> Option<(Time, Option<ZoneId>)> {
     let zone = |start: AttemptStart| Some(ZoneId(start.zone)).filter(|_| start.zone != UNKNOWN_INDEX);
-    let known = message.may_have_run.map(|start| (Time(start.started_at), zone(start)));
+    let known = message.first_possible_run.map(|start| (Time(start.started_at), zone(start)));
     let Some(class) = class.filter(|_| message.from_lost_instance) else { return known };
     // The lost instance may have sent it at any time since the first submission, to an unknown zone.
     let first_submitted = (Time(message.deadline) - class.deadline).min(Time(message.submitted_at));
--- a/crates/resp-gateway/src/message_record/tests.rs
+++ b/crates/resp-gateway/src/message_record/tests.rs
@@ -26,9 +26,9 @@
 fn recovery_treats_an_open_attempt_as_possibly_run_unless_an_earlier_one_may_have_run() {
     let recovered = |may_have_run: Option<u64>, open: Option<u64>| {
         let (may_have_run, open_attempt) = (may_have_run.map(started_at), open.map(started_at));
-        let mut message = LiveMessage { may_have_run, open_attempt, ..stored_message() };
+        let mut message = LiveMessage { first_possible_run: may_have_run, open_attempt, ..stored_message() };
         let attempts = recover(&mut message, None).attempts;
-        let stored = message.may_have_run.map(|start| (Time(start.started_at), Some(ZoneId(1))));
+        let stored = message.first_possible_run.map(|start| (Time(start.started_at), Some(ZoneId(1))));
         assert_eq!((message.open_attempt, stored), (None, attempts.may_have_run));
         (attempts.may_have_run.map(|(at, _)| at.0 / SECOND), attempts.attempts)
     };
@@ -41,8 +41,11 @@
 #[test]
 fn recovery_assumes_a_lost_instance_sent_the_message_at_its_first_submission() {
     let class = Class { deadline: Duration::from_secs(12), ..Class::default() };
-    let mut message =
-        LiveMessage { from_lost_instance: true, may_have_run: Some(started_at(101)), ..stored_message() };
+    let mut message = LiveMessage {
+        from_lost_instance: true,
+        first_possible_run: Some(started_at(101)),
+        ..stored_message()
+    };
     let attempts = recover(&mut message, Some(&class)).attempts;
     assert_eq!(attempts.may_have_run, Some((Time(96 * SECOND), None)));
 }
--- a/crates/resp-gateway/src/name_table.rs
+++ b/crates/resp-gateway/src/name_table.rs
@@ -3,7 +3,7 @@
 
 use cloverstile::{Class, Effect};
 use cloverstile_platform::config::SettingNames;
-use cloverstile_wal::{ClassName, LiveMessage, NameTable, UNKNOWN_INDEX};
+use cloverstile_wal::{ClassEntry, LiveMessage, NameTable, UNKNOWN_INDEX};
 use std::time::Duration;
 
 /// The code of an effect in the log. It is fixed, independent of the order of the enum's variants, which may change.
@@ -30,7 +30,7 @@
 pub fn name_table(names: &SettingNames, classes: &[Class]) -> NameTable {
     let class_names = names.classes.iter().map(String::as_str).chain([""]);
     let named = class_names.zip(classes);
-    let entry = |(name, class): (&str, &Class)| ClassName {
+    let entry = |(name, class): (&str, &Class)| ClassEntry {
         name: name.to_owned(),
         effect: effect_code(class.effect),
     };
@@ -45,7 +45,7 @@
 /// class was removed would fail without an attempt.
 pub fn remap(message: &mut LiveMessage, stored: &NameTable, current: &NameTable) {
     message.class = u8::try_from(remapped_class(message.class, stored, current)).unwrap_or(u8::MAX);
-    for start in [&mut message.may_have_run, &mut message.open_attempt].into_iter().flatten() {
+    for start in [&mut message.first_possible_run, &mut message.open_attempt].into_iter().flatten() {
         let name = stored.zones.get(usize::from(start.zone));
         let found = name.and_then(|name| current.zones.iter().position(|zone| zone == name));
         start.zone = found.and_then(|index| u8::try_from(index).ok()).unwrap_or(UNKNOWN_INDEX);
@@ -56,7 +56,7 @@
 fn remapped_class(class: u8, stored: &NameTable, current: &NameTable) -> usize {
     let fallback = current.classes.len().saturating_sub(1);
     let index = usize::from(class);
-    let Some(ClassName { name, effect: stored_effect }) = stored.classes.get(index) else {
+    let Some(ClassEntry { name, effect: stored_effect }) = stored.classes.get(index) else {
         // The log was written by a version that did not store names.
         return index.min(fallback);
     };
--- a/crates/resp-gateway/src/recovery.rs
+++ b/crates/resp-gateway/src/recovery.rs
@@ -7,7 +7,7 @@
 #[cfg(feature = "planted-defects")]
 use cloverstile_fault_injection::{is_planted, PlantedDefect};
 use cloverstile_platform::notifications::Release;
-use cloverstile_wal::{LiveMessage, NameTable, Record, Recovered};
+use cloverstile_wal::{LiveMessage, NameTable, Record, RecoveredState};
 use tracing::debug;
 
 /// Passes the messages from the log to the engine and the notifications, and records them again under the message numbers
@@ -15,7 +15,7 @@
 /// class last.
 pub fn recover_messages(
     now: Time,
-    recovered: Recovered,
+    recovered: RecoveredState,
     names: &NameTable,
     classes: &[Class],
     delivery: &mut DeliveryState,
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -26,7 +26,7 @@
 use cloverstile_platform::notifications::Notifications;
 use cloverstile_platform::requests::ConnectionLimits;
 use cloverstile_platform::response::LoadReportFields;
-use cloverstile_wal::{Record, Recovered};
+use cloverstile_wal::{Record, RecoveredState};
 use std::io;
 use std::path::Path;
 use std::time::Duration;
@@ -115,7 +115,7 @@
     directory: &Path,
     max_bytes: u64,
     net: &mut Net,
-) -> Result<Option<(MessageLog, Recovered)>, GatewayError> {
+) -> Result<Option<(MessageLog, RecoveredState)>, GatewayError> {
     loop {
         match MessageLog::open(directory, max_bytes) {
             Ok(opened) => return Ok(Some(opened)),
--- a/crates/wal/src/codec.rs
+++ b/crates/wal/src/codec.rs
@@ -5,7 +5,7 @@
 //! them: logs of every version stay readable.
 
 use crate::record::{
-    AttemptStart, BootId, ClassName, ClockReference, LiveMessage, NameTable, Record, TerminalState,
+    AttemptStart, BootId, ClassEntry, ClockReference, LiveMessage, NameTable, Record, TerminalState,
     UNKNOWN_INDEX,
 };
 
@@ -92,11 +92,11 @@
         payload.u64(message.deadline);
         payload.u8(u8::from(message.from_lost_instance));
         payload.u16(message.attempts);
-        payload.optional_u64(message.may_have_run.map(|start| start.started_at));
+        payload.optional_u64(message.first_possible_run.map(|start| start.started_at));
         payload.optional_u64(message.open_attempt.map(|start| start.started_at));
         payload.pending_notification(message.pending_notification);
         payload.bytes(&message.body);
-        payload.u8(message.may_have_run.map_or(UNKNOWN_INDEX, |start| start.zone));
+        payload.u8(message.first_possible_run.map_or(UNKNOWN_INDEX, |start| start.zone));
         payload.u8(message.open_attempt.map_or(UNKNOWN_INDEX, |start| start.zone));
     });
 }
@@ -340,7 +340,7 @@
         let open_attempt_at = self.optional_u64()?;
         message.pending_notification = self.pending_notification()?;
         message.body = self.bytes()?;
-        message.may_have_run = self.attempt_start(may_have_run_at);
+        message.first_possible_run = self.attempt_start(may_have_run_at);
         message.open_attempt = self.attempt_start(open_attempt_at);
         Ok(message)
     }
@@ -354,7 +354,7 @@
     fn name_table(&mut self, class_count: u32) -> Result<NameTable, DecodeError> {
         let names: Vec<String> = (0..class_count).map(|_| self.text()).collect::<Result<_, _>>()?;
         let classes =
-            names.into_iter().map(|name| ClassName { name, effect: self.byte_of_later_version() }).collect();
+            names.into_iter().map(|name| ClassEntry { name, effect: self.byte_of_later_version() }).collect();
         let mut zones = Vec::new();
         while !self.rest.is_empty() {
             zones.push(self.text()?);
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -28,9 +28,9 @@
 pub mod store;
 
 pub use codec::DecodeError;
-pub use log::{Log, Recovered};
+pub use log::{Log, RecoveredState};
 pub use record::{
-    AttemptStart, BootId, ClassName, ClockReference, LiveMessage, NameTable, Record, TerminalState,
+    AttemptStart, BootId, ClassEntry, ClockReference, LiveMessage, NameTable, Record, TerminalState,
     UNKNOWN_INDEX,
 };
 pub use store::SegmentStore;
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -33,7 +33,7 @@
 
 /// What an earlier process left.
 #[derive(Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// The live messages, in the order of their numbers.
     pub messages: Vec<LiveMessage>,
     /// Bytes at the segment's end that were discarded, from the first torn or damaged record on.
@@ -45,7 +45,7 @@
     /// The clock of the messages' times; none where the log's version did not store it.
     pub clock: Option<ClockReference>,
     /// Why files of earlier segments could not be removed. They do not count; the log removes them later.
-    pub leftovers: Option<io::Error>,
+    pub cleanup_error: Option<io::Error>,
 }
 
 /// A write-ahead log in a [`SegmentStore`].
@@ -68,7 +68,7 @@
     clock: Option<ClockReference>,
     /// Files that count no longer and could not be removed. No new segment is written before they are: the capacity holds
     /// for all files together.
-    leftovers: Vec<String>,
+    obsolete_files: Vec<String>,
     /// The segment can't be appended to, after recovery or a failed write: the next commit starts a new one.
     needs_new_segment: bool,
 }
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// The files can't be listed or read. One that can't be removed is none: it does not count, and is removed later.
-    pub fn open(store: S, capacity: u64) -> io::Result<(Self, Recovered)> {
+    pub fn open(store: S, capacity: u64) -> io::Result<(Self, RecoveredState)> {
         let mut log = Log {
             store,
             capacity,
@@ -107,27 +107,27 @@
             batch: Vec::new(),
             names: NameTable::default(),
             clock: None,
-            leftovers: Vec::new(),
+            obsolete_files: Vec::new(),
             needs_new_segment: true,
         };
         let mut segments: Vec<u64> =
             log.store.file_names()?.iter().filter_map(|name| segment_number(name)).collect();
         segments.sort_unstable();
-        let mut recovered = Recovered::default();
+        let mut recovered = RecoveredState::default();
         if let Some(newest) = segments.pop() {
             log.segment = newest;
             let bytes = log.store.read(&segment_name(newest))?;
             recovered = log.recover(&bytes);
         }
         let older = segments.into_iter().map(segment_name);
-        log.leftovers = older.chain([TEMPORARY_NAME.to_owned()]).collect();
-        recovered.leftovers = log.remove_leftovers().err();
+        log.obsolete_files = older.chain([TEMPORARY_NAME.to_owned()]).collect();
+        recovered.cleanup_error = log.remove_obsolete_files().err();
         Ok((log, recovered))
     }
 
     /// Replays a segment's records; the log holds none of their messages afterwards.
-    fn recover(&mut self, segment: &[u8]) -> Recovered {
-        let mut recovered = Recovered::default();
+    fn recover(&mut self, segment: &[u8]) -> RecoveredState {
+        let mut recovered = RecoveredState::default();
         if let Some(frames) = segment.strip_prefix(SEGMENT_HEADER) {
             self.replay_frames(frames, &mut recovered);
         } else if let Some(records) = segment.strip_prefix(SEGMENT_HEADER_WITHOUT_FRAMES) {
@@ -143,7 +143,7 @@
     }
 
     /// Applies batches up to the first one that can't be read.
-    fn replay_frames(&mut self, mut frames: &[u8], recovered: &mut Recovered) {
+    fn replay_frames(&mut self, mut frames: &[u8], recovered: &mut RecoveredState) {
         for sequence in 0.. {
             if frames.is_empty() {
                 return;
@@ -168,7 +168,7 @@
     }
 
     /// Applies records up to the first one that can't be read.
-    fn replay_records(&mut self, mut records: &[u8], recovered: &mut Recovered) {
+    fn replay_records(&mut self, mut records: &[u8], recovered: &mut RecoveredState) {
         while !records.is_empty() {
             match Record::decode(records) {
                 Ok(decoded) => {
@@ -199,8 +199,8 @@
             Record::AttemptCompleted { message_number, may_have_run } => {
                 if let Some(message) = self.live_messages.get_mut(&message_number) {
                     let attempt = message.open_attempt.take();
-                    if may_have_run && message.may_have_run.is_none() {
-                        message.may_have_run = attempt;
+                    if may_have_run && message.first_possible_run.is_none() {
+                        message.first_possible_run = attempt;
                     }
                 }
             }
@@ -314,7 +314,7 @@
     /// Writes the live messages to a new segment, which then replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
         self.needs_new_segment = true;
-        self.remove_leftovers()?;
+        self.remove_obsolete_files()?;
         let bytes = self.encode_segment();
         let next = self.segment + 1;
         let written = self.store.append(TEMPORARY_NAME, &bytes);
@@ -322,7 +322,7 @@
             // A rename that failed may have happened all the same: then recovery finds the new segment.
             let is_renamed = self.store.length(&segment_name(next)).is_ok();
             if !is_renamed || self.store.remove(&segment_name(next)).is_ok() {
-                self.leftovers.push(TEMPORARY_NAME.to_owned());
+                self.obsolete_files.push(TEMPORARY_NAME.to_owned());
                 return Err(error);
             }
         }
@@ -332,16 +332,16 @@
         self.frames = 1;
         self.needs_new_segment = false;
         // Recovery reads the newest segment. One that can't be removed now is removed ahead of the next segment.
-        self.leftovers.push(segment_name(old));
-        let _ = self.remove_leftovers();
+        self.obsolete_files.push(segment_name(old));
+        let _ = self.remove_obsolete_files();
         Ok(())
     }
 
     /// Removes files that count no longer; those that can't be removed stay for the next call.
-    fn remove_leftovers(&mut self) -> io::Result<()> {
-        while let Some(name) = self.leftovers.last() {
+    fn remove_obsolete_files(&mut self) -> io::Result<()> {
+        while let Some(name) = self.obsolete_files.last() {
             self.store.remove(name)?;
-            self.leftovers.pop();
+            self.obsolete_files.pop();
         }
         Ok(())
     }
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -31,7 +31,7 @@
     /// Number of attempts started.
     pub attempts: u16,
     /// The first attempt that may have run.
-    pub may_have_run: Option<AttemptStart>,
+    pub first_possible_run: Option<AttemptStart>,
     /// The attempt that was started and has no outcome yet.
     pub open_attempt: Option<AttemptStart>,
     /// How it ended, where the platform has not acknowledged the notification yet.
@@ -54,7 +54,7 @@
 
 /// A class of messages as it was when the log was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClassName {
+pub struct ClassEntry {
     /// Its name in the settings; empty for the class that no setting names.
     pub name: String,
     /// The writer's code for the effect of a repeated delivery; [`UNKNOWN_INDEX`] where the log does not hold it.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NameTable {
     /// Classes, by index.
-    pub classes: Vec<ClassName>,
+    pub classes: Vec<ClassEntry>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
 }
--- a/crates/wal/tests/log.rs
+++ b/crates/wal/tests/log.rs
@@ -2,7 +2,7 @@
 
 use cloverstile_wal::store::{DirectoryStore, MemoryStore, SegmentStore};
 use cloverstile_wal::{
-    AttemptStart, BootId, ClassName, ClockReference, DecodeError, LiveMessage, Log, NameTable, Record,
+    AttemptStart, BootId, ClassEntry, ClockReference, DecodeError, LiveMessage, Log, NameTable, Record,
     TerminalState, UNKNOWN_INDEX,
 };
 use proptest::prelude::*;
@@ -28,8 +28,8 @@
     AttemptStart { started_at: at, zone: at as u8 % 3 }
 }
 
-fn class(name: &str, effect: u8) -> ClassName {
-    ClassName { name: name.to_owned(), effect }
+fn class(name: &str, effect: u8) -> ClassEntry {
+    ClassEntry { name: name.to_owned(), effect }
 }
 
 fn open(store: MemoryStore) -> (Log<MemoryStore>, Vec<LiveMessage>, usize) {
@@ -104,11 +104,11 @@
     let at = |step: usize| open(states[step].clone()).1;
     let second = &at(7)[1];
     assert_eq!(
-        (second.attempts, second.may_have_run, second.open_attempt),
+        (second.attempts, second.first_possible_run, second.open_attempt),
         (2, Some(start(12)), Some(start(13)))
     );
     let first = &at(7)[0];
-    assert_eq!((first.attempts, first.may_have_run, first.open_attempt), (2, None, Some(start(14))));
+    assert_eq!((first.attempts, first.first_possible_run, first.open_attempt), (2, None, Some(start(14))));
     assert_eq!(at(8)[1].pending_notification, Some(TerminalState::Deferred(Some(700))));
     assert!(at(8)[1].body.is_empty());
     assert!(at(10).is_empty());
@@ -229,7 +229,7 @@
         [&length[..], &crc32fast::hash(&payload).to_le_bytes(), &payload].concat()
     };
     let submitted =
-        LiveMessage { may_have_run: Some(start(11)), open_attempt: Some(start(12)), ..message(1, 30) };
+        LiveMessage { first_possible_run: Some(start(11)), open_attempt: Some(start(12)), ..message(1, 30) };
     let names = NameTable { classes: vec![class("a", 1), class("b", 2)], zones: Vec::new() };
     let bytes = [
         b"cloverstile-log 1\n".to_vec(),
@@ -242,7 +242,7 @@
     let (_, recovered) = Log::open(MemoryStore { files, ..MemoryStore::default() }, CAPACITY_BYTES).unwrap();
     let old = |at| Some(AttemptStart { started_at: at, zone: UNKNOWN_INDEX });
     let found: Vec<_> =
-        recovered.messages.iter().map(|message| (message.may_have_run, message.open_attempt)).collect();
+        recovered.messages.iter().map(|message| (message.first_possible_run, message.open_attempt)).collect();
     assert_eq!((found, recovered.discarded_bytes), (vec![(old(11), old(12)), (None, old(13))], 0));
     assert_eq!(recovered.names.classes, [class("a", UNKNOWN_INDEX), class("b", UNKNOWN_INDEX)]);
 }
--- a/crates/wal/tests/stored_data.rs
+++ b/crates/wal/tests/stored_data.rs
@@ -1,7 +1,7 @@
 //! Logs that earlier versions wrote are recovered to the same messages, byte for byte (`tests/data/README.md`).
 
 use cloverstile_wal::store::DirectoryStore;
-use cloverstile_wal::{AttemptStart, LiveMessage, Log, Recovered, TerminalState};
+use cloverstile_wal::{AttemptStart, LiveMessage, Log, RecoveredState, TerminalState};
 use std::fmt::Write;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -48,14 +48,14 @@
         message.deadline,
         message.from_lost_instance,
         message.attempts,
-        start_text(message.may_have_run),
+        start_text(message.first_possible_run),
         start_text(message.open_attempt),
         owed_text(message.pending_notification),
     )
 }
 
 /// What was recovered, in the form of `recovered.txt`.
-fn text_of(recovered: &Recovered) -> String {
+fn text_of(recovered: &RecoveredState) -> String {
     let mut text = format!("discarded_bytes={}\n", recovered.discarded_bytes);
     for class in &recovered.names.classes {
         writeln!(text, "class={} effect={}", class.name, class.effect).unwrap();
