--- a/crates/wal/src/codec.rs
+++ b/crates/wal/src/codec.rs
@@ -1,24 +1,24 @@
-//! Bytes of the records. A record is a header, of its payload's length and CRC-32, and the payload: its kind and
-//! fields. All numbers are little-endian.
+//! Binary encoding of records. A record consists of a header with the length and CRC-32 of its payload, and the
+//! payload, which starts with the record kind followed by the fields. All integers are little-endian.
 //!
-//! Fields that later versions added stand at the end of a payload, and a payload of an earlier version ends before
-//! them: logs of every version stay readable.
+//! New versions add fields only at the end of a payload, so payloads written by earlier versions are shorter. This
+//! keeps the logs of every version readable.
 
 use crate::record::{
     AttemptStart, BootId, ClassEntry, ClockReference, LiveMessage, NameTable, Record, TerminalState,
     UNKNOWN_INDEX,
 };
 
-/// Bytes of a record's header: the payload's length and its checksum, four bytes each.
-const HEADER_BYTES: usize = 8;
-/// Offset of the checksum in the header.
+/// Size of a record header: payload length and payload checksum, four bytes each.
+const RECORD_HEADER_BYTES: usize = 8;
+/// Offset of the checksum in the record header.
 const CHECKSUM_OFFSET: usize = 4;
-/// Largest batch. A header that gives a larger one is damaged.
+/// Maximum size of a batch. A frame header with a larger length is treated as damaged.
 pub const MAX_BATCH_BYTES: usize = 1 << 30;
-/// Largest payload. A header that gives a larger one is damaged.
+/// Maximum size of a record payload. A record header with a larger length is treated as damaged.
 const MAX_PAYLOAD_BYTES: usize = 256 << 10;
 
-/// Record kinds: the first byte of a payload.
+/// Record kinds, stored in the first byte of a payload.
 mod kind {
     pub const SUBMITTED: u8 = 1;
     pub const ATTEMPT_STARTED: u8 = 2;
@@ -30,46 +30,47 @@
     pub const ATTEMPT_WITHDRAWN: u8 = 8;
 }
 
-/// Codes of a message's pending notification.
+/// Codes for the pending notification of a message.
 mod notification {
     pub const NONE: u8 = 0;
     pub const UNDELIVERABLE: u8 = 1;
     pub const DEFERRED: u8 = 2;
 }
 
-/// Why bytes can't be read as a record.
+/// Reason why a record or a batch can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes end before the record does, as after a torn write.
-    #[error("the record ends early")]
+    /// The input ends before the record or batch does, for example after a torn write.
+    #[error("truncated record or batch")]
     Truncated,
-    /// The header gives a payload that is longer than any record's, or a batch that is longer than any.
-    #[error("a payload of {0} bytes; a record has at most {MAX_PAYLOAD_BYTES}, a batch {MAX_BATCH_BYTES}")]
+    /// The length in the header exceeds the maximum for a record payload or for a batch. The value is that length in
+    /// bytes.
+    #[error("length of {0} bytes exceeds the maximum: {MAX_PAYLOAD_BYTES} for a record, {MAX_BATCH_BYTES} for a batch")]
     TooLong(usize),
-    /// A batch stands where another one is expected.
-    #[error("the batch has another sequence number than the one that follows the batch before")]
+    /// The sequence number of the batch does not match its position in the segment.
+    #[error("the sequence number of the batch does not follow that of the previous batch")]
     OutOfSequence,
-    /// The payload does not have the checksum that the header gives.
-    #[error("the checksum does not match")]
+    /// The checksum of the data differs from the one in the header.
+    #[error("checksum mismatch")]
     ChecksumMismatch,
-    /// The payload has its checksum, but holds no record that this version knows.
-    #[error("the payload is not a known record")]
+    /// The checksum matches, but the payload is malformed or holds a record kind that this version does not know.
+    #[error("malformed payload or unknown record kind")]
     InvalidPayload,
 }
 
-/// A record and the bytes that it takes.
+/// A decoded record and its encoded length.
 pub(crate) struct DecodedRecord {
     pub record: Record,
-    /// Length of the record with its header, in bytes.
+    /// Length of the record including its header, in bytes.
     pub length: usize,
 }
 
-/// Appends a record: its header, and the payload that `write_payload` encodes.
-fn append_framed(out: &mut Vec<u8>, write_payload: impl FnOnce(&mut Encoder)) {
+/// Appends a record header and the payload that `write_payload` encodes.
+fn append_record(out: &mut Vec<u8>, write_payload: impl FnOnce(&mut Encoder)) {
     let start = out.len();
-    out.extend([0; HEADER_BYTES]);
+    out.extend([0; RECORD_HEADER_BYTES]);
     write_payload(&mut Encoder { out });
-    let payload_start = start + HEADER_BYTES;
+    let payload_start = start + RECORD_HEADER_BYTES;
     let length = u32::try_from(out.len() - payload_start).unwrap_or(u32::MAX);
     let checksum = crc32fast::hash(&out[payload_start..]);
     let checksum_start = start + CHECKSUM_OFFSET;
@@ -77,9 +78,9 @@
     out[checksum_start..payload_start].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Appends a [`Record::Submitted`] of a message as it stands, without a copy of its body.
+/// Appends a [`Record::Submitted`] with the current state of a message, without cloning the message.
 pub(crate) fn encode_submitted(message_number: u32, message: &LiveMessage, out: &mut Vec<u8>) {
-    append_framed(out, |payload| {
+    append_record(out, |payload| {
         payload.u8(kind::SUBMITTED);
         payload.u32(message_number);
         payload.bytes(&message.id);
@@ -102,55 +103,55 @@
 }
 
 impl Record {
-    /// Appends the record's bytes, header included.
+    /// Appends the encoded record, including its header.
     pub fn encode(&self, out: &mut Vec<u8>) {
         match self {
             Record::Submitted { message_number, message } => encode_submitted(*message_number, message, out),
-            Record::AttemptStarted { message_number, start } => append_framed(out, |payload| {
+            Record::AttemptStarted { message_number, start } => append_record(out, |payload| {
                 payload.u8(kind::ATTEMPT_STARTED);
                 payload.u32(*message_number);
                 payload.u64(start.started_at);
                 payload.u8(start.zone);
             }),
-            Record::AttemptCompleted { message_number, may_have_run } => append_framed(out, |payload| {
+            Record::AttemptCompleted { message_number, may_have_run } => append_record(out, |payload| {
                 payload.u8(kind::ATTEMPT_COMPLETED);
                 payload.u32(*message_number);
                 payload.u8(u8::from(*may_have_run));
             }),
-            Record::NotificationPending { message_number, state } => append_framed(out, |payload| {
+            Record::NotificationPending { message_number, state } => append_record(out, |payload| {
                 payload.u8(kind::NOTIFICATION_PENDING);
                 payload.u32(*message_number);
                 payload.pending_notification(Some(*state));
             }),
-            Record::Completed { message_number } => append_framed(out, |payload| {
+            Record::Completed { message_number } => append_record(out, |payload| {
                 payload.u8(kind::COMPLETED);
                 payload.u32(*message_number);
             }),
-            Record::NameTable(names) => append_framed(out, |payload| payload.name_table(names)),
-            Record::ClockReference(reference) => append_framed(out, |payload| {
+            Record::NameTable(names) => append_record(out, |payload| payload.name_table(names)),
+            Record::ClockReference(reference) => append_record(out, |payload| {
                 payload.u8(kind::CLOCK_REFERENCE);
                 payload.u32(0);
                 payload.u64(reference.unix_time);
                 payload.u64(reference.monotonic);
                 payload.out.extend_from_slice(&reference.boot.0);
             }),
-            Record::AttemptWithdrawn { message_number } => append_framed(out, |payload| {
+            Record::AttemptWithdrawn { message_number } => append_record(out, |payload| {
                 payload.u8(kind::ATTEMPT_WITHDRAWN);
                 payload.u32(*message_number);
             }),
         }
     }
 
-    /// Reads the record that the bytes begin with.
+    /// Decodes the record at the start of `bytes`.
     pub(crate) fn decode(bytes: &[u8]) -> Result<DecodedRecord, DecodeError> {
-        let mut header = Decoder { rest: bytes.get(..HEADER_BYTES).ok_or(DecodeError::Truncated)? };
+        let mut header = Decoder { rest: bytes.get(..RECORD_HEADER_BYTES).ok_or(DecodeError::Truncated)? };
         let payload_length = header.u32()? as usize;
         let checksum = header.u32()?;
         if payload_length > MAX_PAYLOAD_BYTES {
             return Err(DecodeError::TooLong(payload_length));
         }
-        let length = HEADER_BYTES + payload_length;
-        let payload = bytes.get(HEADER_BYTES..length).ok_or(DecodeError::Truncated)?;
+        let length = RECORD_HEADER_BYTES + payload_length;
+        let payload = bytes.get(RECORD_HEADER_BYTES..length).ok_or(DecodeError::Truncated)?;
         if crc32fast::hash(payload) != checksum {
             return Err(DecodeError::ChecksumMismatch);
         }
@@ -163,7 +164,7 @@
     }
 }
 
-/// Appends fields to a payload.
+/// Appends encoded fields to a payload.
 struct Encoder<'a> {
     out: &'a mut Vec<u8>,
 }
@@ -185,13 +186,13 @@
         self.out.extend(value.to_le_bytes());
     }
 
-    /// A presence byte and a number, 0 where there is none.
+    /// Writes a presence byte and the value, or 0 if there is none.
     fn optional_u64(&mut self, value: Option<u64>) {
         self.u8(u8::from(value.is_some()));
         self.u64(value.unwrap_or(0));
     }
 
-    /// Length and bytes.
+    /// Writes a four-byte length followed by the bytes.
     fn bytes(&mut self, value: &[u8]) {
         self.u32(u32::try_from(value.len()).unwrap_or(u32::MAX));
         self.out.extend_from_slice(value);
@@ -208,7 +209,8 @@
         }
     }
 
-    /// The number of classes, their names, their effects, and the zones up to the payload's end.
+    /// Writes the number of classes, all class names, all class effects, and the zone names up to the end of the
+    /// payload.
     fn name_table(&mut self, names: &NameTable) {
         self.u8(kind::NAME_TABLE);
         self.u32(u32::try_from(names.classes.len()).unwrap_or(u32::MAX));
@@ -218,7 +220,7 @@
     }
 }
 
-/// Takes fields from the front of a payload.
+/// Reads fields from the front of a payload.
 struct Decoder<'a> {
     rest: &'a [u8],
 }
@@ -275,8 +277,8 @@
         String::from_utf8(self.bytes()?).map_err(|_| DecodeError::InvalidPayload)
     }
 
-    /// A byte that payloads of earlier versions end without.
-    fn byte_of_later_version(&mut self) -> u8 {
+    /// Reads an index at the end of a payload; [`UNKNOWN_INDEX`] if an earlier version wrote the payload without it.
+    fn trailing_index(&mut self) -> u8 {
         self.u8().unwrap_or(UNKNOWN_INDEX)
     }
 
@@ -291,14 +293,14 @@
 
     fn record(&mut self) -> Result<Record, DecodeError> {
         let kind = self.u8()?;
-        // The number of a message, or of classes in a name table; none in a clock reference.
+        // The message number, or the number of classes in a name table. A clock reference stores an unused 0 here.
         let number = self.u32()?;
         Ok(match kind {
             kind::SUBMITTED => {
                 Record::Submitted { message_number: number, message: Box::new(self.live_message()?) }
             }
             kind::ATTEMPT_STARTED => {
-                let start = AttemptStart { started_at: self.u64()?, zone: self.byte_of_later_version() };
+                let start = AttemptStart { started_at: self.u64()?, zone: self.trailing_index() };
                 Record::AttemptStarted { message_number: number, start }
             }
             kind::ATTEMPT_COMPLETED => {
@@ -336,25 +338,25 @@
             attempts: self.u16()?,
             ..LiveMessage::default()
         };
-        let may_have_run_at = self.optional_u64()?;
+        let first_possible_run_at = self.optional_u64()?;
         let open_attempt_at = self.optional_u64()?;
         message.pending_notification = self.pending_notification()?;
         message.body = self.bytes()?;
-        message.first_possible_run = self.attempt_start(may_have_run_at);
+        message.first_possible_run = self.attempt_start(first_possible_run_at);
         message.open_attempt = self.attempt_start(open_attempt_at);
         Ok(message)
     }
 
-    /// Completes the start of an attempt with its zone, which stands at the payload's end whether there is one or not.
+    /// Combines the start time of an attempt with its zone. The payload holds a zone even if there is no attempt.
     fn attempt_start(&mut self, started_at: Option<u64>) -> Option<AttemptStart> {
-        let zone = self.byte_of_later_version();
+        let zone = self.trailing_index();
         started_at.map(|started_at| AttemptStart { started_at, zone })
     }
 
     fn name_table(&mut self, class_count: u32) -> Result<NameTable, DecodeError> {
         let names: Vec<String> = (0..class_count).map(|_| self.text()).collect::<Result<_, _>>()?;
         let classes =
-            names.into_iter().map(|name| ClassEntry { name, effect: self.byte_of_later_version() }).collect();
+            names.into_iter().map(|name| ClassEntry { name, effect: self.trailing_index() }).collect();
         let mut zones = Vec::new();
         while !self.rest.is_empty() {
             zones.push(self.text()?);
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,25 +1,29 @@
-//! Batches of a segment: the records of one commit in a frame, which is recovered whole or not at all.
+//! Binary encoding of batches. A batch holds the records of one commit; its frame makes recovery atomic: either all of
+//! its records are recovered or none.
 //!
-//! A frame is a header and the records. The header has the records' length, a checksum over sequence number and records,
-//! and the sequence number, which counts the segment's frames from zero. All numbers are little-endian.
+//! A frame consists of a header and the records. The header holds the length of the records, a CRC-32 of the sequence
+//! number and the records, and the sequence number, which counts the frames of a segment from zero. All integers are
+//! little-endian.
 
 use crate::codec::{DecodeError, MAX_BATCH_BYTES};
 use crate::record::Record;
 
-/// Bytes of a frame's header: length and checksum of four bytes each, sequence number of eight.
+/// Size of a frame header: length and checksum of four bytes each, and a sequence number of eight bytes.
 pub const FRAME_HEADER_BYTES: usize = 16;
+/// Offset of the checksum in the frame header.
 const CHECKSUM_OFFSET: usize = 4;
+/// Offset of the sequence number in the frame header. The checksum covers everything from here on.
 const SEQUENCE_OFFSET: usize = 8;
 
-/// A batch that was read, and the bytes that its frame takes.
+/// A decoded batch and the length of its frame.
 pub struct DecodedFrame {
-    /// The records, in order.
+    /// The records, in the order in which they were logged.
     pub records: Vec<Record>,
-    /// Length of the frame with its header, in bytes.
+    /// Length of the frame including its header, in bytes.
     pub length: usize,
 }
 
-/// Appends the frame of a batch; `write_records` appends the records.
+/// Appends the frame of a batch, whose records `write_records` appends.
 pub fn append_frame(sequence: u64, out: &mut Vec<u8>, write_records: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend([0; FRAME_HEADER_BYTES]);
@@ -33,23 +37,24 @@
     out[checksum_start..sequence_start].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Reads the frame that the bytes begin with, which must have this sequence number.
+/// Decodes the frame at the start of `bytes`. Fails with [`DecodeError::OutOfSequence`] if its sequence number is not
+/// `sequence`.
 pub fn decode_frame(sequence: u64, bytes: &[u8]) -> Result<DecodedFrame, DecodeError> {
     let header: &[u8; FRAME_HEADER_BYTES] = bytes.first_chunk().ok_or(DecodeError::Truncated)?;
-    let number = |offset: usize| {
+    let read_u32 = |offset: usize| {
         let [a, b, c, d] = [0, 1, 2, 3].map(|index| header[offset + index]);
         u32::from_le_bytes([a, b, c, d])
     };
-    let records_length = number(0) as usize;
+    let records_length = read_u32(0) as usize;
     if records_length > MAX_BATCH_BYTES {
         return Err(DecodeError::TooLong(records_length));
     }
     let length = FRAME_HEADER_BYTES + records_length;
-    let checked = bytes.get(SEQUENCE_OFFSET..length).ok_or(DecodeError::Truncated)?;
-    if crc32fast::hash(checked) != number(CHECKSUM_OFFSET) {
+    let checksummed = bytes.get(SEQUENCE_OFFSET..length).ok_or(DecodeError::Truncated)?;
+    if crc32fast::hash(checksummed) != read_u32(CHECKSUM_OFFSET) {
         return Err(DecodeError::ChecksumMismatch);
     }
-    if !checked.starts_with(&sequence.to_le_bytes()) {
+    if !checksummed.starts_with(&sequence.to_le_bytes()) {
         return Err(DecodeError::OutOfSequence);
     }
     let mut rest = &bytes[FRAME_HEADER_BYTES..length];
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,24 +1,25 @@
-//! Write-ahead log of accepted messages: what was committed to it survives the end of the process.
+//! Write-ahead log of accepted messages. Committed records survive the end of the process.
 //!
 //! [`Log`] collects the [`Record`]s of one turn, and [`Log::commit`] appends them to a segment of a [`SegmentStore`] in
-//! one write. A committed record survives a crash of the process without a sync; it need not survive a crash of the
-//! machine. When a segment has grown, compaction writes the live messages to a new segment, which replaces the old one
-//! when it gets its name; both together stay under the capacity that the log was opened with.
+//! one write. A committed record survives a crash of the process, but not necessarily a crash of the machine, because
+//! commits do not sync. Once a segment has grown too large, compaction writes the live messages to a new segment, which
+//! replaces the old one by an atomic rename. Both segments together stay within the capacity that the log was opened
+//! with.
 //!
-//! Recovery, in [`Log::open`], reads the newest segment up to its first torn or damaged batch. A batch, the records of one
-//! commit, stands in a frame with a length, a checksum and a sequence number over all of it: it is recovered whole or not
-//! at all. Segments of the first version have records without frames, and are still read.
+//! Recovery, in [`Log::open`], reads the newest segment up to the first torn or damaged batch. A batch holds the
+//! records of one commit in a frame with a length, a checksum and a sequence number, so that it is recovered as a whole
+//! or not at all. Segments of format version 1, whose records have no frames, can still be read.
 //!
-//! File names: `log.N` is a segment, complete from the moment it has that name; the highest `N` counts. `log.tmp` is a
-//! segment that was being written when the process ended, and is ignored.
+//! File names: `log.N` is a segment, which is complete as soon as it has this name; the segment with the highest `N` is
+//! the current one. `log.tmp` is a segment that was being written when the process ended; it is ignored and removed.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `record` | types of the records |
-//! | `codec` | their bytes: checksums, encoding and decoding |
-//! | `frame` | the batches of a segment |
-//! | `log` | state of the log: live messages, commit, compaction, recovery |
-//! | [`store`] | where segments are kept: the file system, or memory in tests |
+//! | `record` | record types and the message state |
+//! | `codec` | binary encoding of records, with checksums |
+//! | `frame` | binary encoding of batches |
+//! | `log` | live messages, commit, compaction and recovery |
+//! | [`store`] | storage of segments in a directory, or in memory for tests |
 #![forbid(unsafe_code)]
 
 mod codec;
--- a/crates/wal/src/log.rs
+++ b/crates/wal/src/log.rs
@@ -1,4 +1,4 @@
-//! State of the log: live messages, records of the current turn, commit, compaction and recovery.
+//! The log itself: live messages, the batch of the current turn, commit, compaction and recovery.
 
 use crate::codec::{encode_submitted, DecodeError};
 #[cfg(feature = "planted-defects")]
@@ -11,90 +11,95 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Share of the capacity that live messages may take. Compaction writes a new segment beside the old one, so that both
-/// shares and one turn's records must fit; whole blocks of the file system take the rest.
-const LIVE_MESSAGES_SHARE: f64 = 0.36;
-/// Share of the capacity at which a segment is compacted.
-const SEGMENT_SHARE: f64 = 0.5;
-/// A segment is compacted once it is larger than this many times its live messages and [`MIN_DEAD_BYTES`] more.
-const MAX_SIZE_RATIO: u64 = 4;
-/// Bytes of completed messages for which compaction pays.
+/// Fraction of the capacity that live messages may use. While compaction writes the new segment, the old one still
+/// exists: the live messages ([`MAX_LIVE_FRACTION`]), the old segment ([`COMPACTION_FRACTION`]) and the records of one
+/// turn must fit together. The rest is reserved for rounding up to whole file system blocks.
+const MAX_LIVE_FRACTION: f64 = 0.36;
+/// Fraction of the capacity above which a segment is compacted.
+const COMPACTION_FRACTION: f64 = 0.5;
+/// A segment is compacted once its size exceeds the size of the live messages times this ratio, plus
+/// [`MIN_DEAD_BYTES`].
+const COMPACTION_SIZE_RATIO: u64 = 4;
+/// Minimum size of completed messages in a segment that makes compaction worthwhile, in bytes.
 const MIN_DEAD_BYTES: u64 = 64 << 10;
-/// Upper bound of what a message takes in a segment beside its id, idempotency key and body, in bytes.
-const MESSAGE_OVERHEAD_BYTES: usize = 96;
-/// Upper bound of what a message takes in a segment beside its body, in bytes.
-const MAX_BYTES_BESIDE_BODY: u64 = 512;
-/// Head of a segment: what the file is, and the version of its form.
+/// Upper bound of the encoded size of a message without its id, idempotency key and body, in bytes.
+const MAX_FIXED_FIELD_BYTES: usize = 96;
+/// Upper bound of the encoded size of a message without its body, in bytes.
+const MAX_METADATA_BYTES: u64 = 512;
+/// Header of a segment: file type and format version.
 const SEGMENT_HEADER: &[u8] = b"cloverstile-log 2\n";
-/// Head of a segment of the first version, whose records stand without frames.
-const SEGMENT_HEADER_WITHOUT_FRAMES: &[u8] = b"cloverstile-log 1\n";
-/// Name of a segment that is being written.
+/// Header of a segment of format version 1, whose records have no frames.
+const UNFRAMED_SEGMENT_HEADER: &[u8] = b"cloverstile-log 1\n";
+/// Name of a segment that compaction is writing, until it is complete.
 const TEMPORARY_NAME: &str = "log.tmp";
 
-/// What an earlier process left.
+/// State recovered from the log of an earlier process.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
-    /// The live messages, in the order of their numbers.
+    /// The live messages, ordered by message number.
     pub messages: Vec<LiveMessage>,
-    /// Bytes at the segment's end that were discarded, from the first torn or damaged record on.
+    /// Number of bytes discarded at the end of the segment, starting with the first torn or damaged batch or record.
     pub discarded_bytes: usize,
-    /// Why they were discarded; none where there are none, or where the segment has no header.
+    /// Why bytes were discarded. `None` if none were, or if the whole segment was because it has no valid header.
     pub decode_error: Option<DecodeError>,
-    /// What indices in the messages mean; empty where the log's version did not store it.
+    /// Names behind the class and zone indices in the messages; empty if the version that wrote the log did not store
+    /// them.
     pub names: NameTable,
-    /// The clock of the messages' times; none where the log's version did not store it.
+    /// Reference for the times in the messages; `None` if the version that wrote the log did not store one.
     pub clock: Option<ClockReference>,
-    /// Why files of earlier segments could not be removed. They do not count; the log removes them later.
+    /// Why obsolete files could not be removed. They are ignored, and the log tries again later to remove them.
     pub cleanup_error: Option<io::Error>,
 }
 
 /// A write-ahead log in a [`SegmentStore`].
 pub struct Log<S> {
     store: S,
-    /// Most bytes that the log may take in its store.
+    /// Maximum size of all files of the log together, in bytes.
     capacity: u64,
-    /// Number of the segment that is appended to.
+    /// Number of the current segment, to which batches are appended.
     segment: u64,
-    /// Bytes of the segment that were committed.
+    /// Committed length of the current segment, in bytes.
     segment_length: u64,
     live_messages: BTreeMap<u32, LiveMessage>,
-    /// What the live messages take in a segment, at most.
+    /// Upper bound of the encoded size of all live messages, in bytes.
     live_bytes: u64,
-    /// Frames in the segment.
-    frames: u64,
+    /// Number of frames in the current segment, which is the sequence number of the next one.
+    frame_count: u64,
     /// Encoded records of the current turn.
     batch: Vec<u8>,
     names: NameTable,
     clock: Option<ClockReference>,
-    /// Files that count no longer and could not be removed. No new segment is written before they are: the capacity holds
-    /// for all files together.
+    /// Obsolete files that are not removed yet. No new segment is written while one is left, because the capacity
+    /// applies to all files together.
     obsolete_files: Vec<String>,
-    /// The segment can't be appended to, after recovery or a failed write: the next commit starts a new one.
+    /// Whether the next commit must start a new segment: after recovery or a failed write, the current segment must not
+    /// be appended to.
     needs_new_segment: bool,
 }
 
-/// What a message takes in a segment, at most.
-fn stored_size(message: &LiveMessage) -> u64 {
+/// Upper bound of the encoded size of a message, in bytes.
+fn max_encoded_size(message: &LiveMessage) -> u64 {
     let key_length = message.idempotency_key.as_ref().map_or(0, Vec::len);
-    (message.id.len() + key_length + message.body.len() + MESSAGE_OVERHEAD_BYTES) as u64
+    (message.id.len() + key_length + message.body.len() + MAX_FIXED_FIELD_BYTES) as u64
 }
 
 fn segment_name(segment: u64) -> String {
     format!("log.{segment}")
 }
 
-fn segment_number(name: &str) -> Option<u64> {
+fn parse_segment_number(name: &str) -> Option<u64> {
     name.strip_prefix("log.")?.parse().ok()
 }
 
 impl<S: SegmentStore> Log<S> {
-    /// Recovers what an earlier process left, in a log of at most `capacity` bytes. The caller submits the recovered
-    /// messages again, under numbers of its own, with [`Record::Submitted`], and commits. Until then the old segment
-    /// stays.
+    /// Opens a log of at most `capacity` bytes and recovers the state that an earlier process left. The caller must log
+    /// the recovered messages again with [`Record::Submitted`], under message numbers of its own choice, and commit.
+    /// The old segment is kept until then.
     ///
     /// # Errors
     ///
-    /// The files can't be listed or read. One that can't be removed is none: it does not count, and is removed later.
+    /// The files can't be listed or read. An obsolete file that can't be removed is not an error: see
+    /// [`RecoveredState::cleanup_error`].
     pub fn open(store: S, capacity: u64) -> io::Result<(Self, RecoveredState)> {
         let mut log = Log {
             store,
@@ -103,7 +108,7 @@
             segment_length: 0,
             live_messages: BTreeMap::new(),
             live_bytes: 0,
-            frames: 0,
+            frame_count: 0,
             batch: Vec::new(),
             names: NameTable::default(),
             clock: None,
@@ -111,7 +116,7 @@
             needs_new_segment: true,
         };
         let mut segments: Vec<u64> =
-            log.store.file_names()?.iter().filter_map(|name| segment_number(name)).collect();
+            log.store.file_names()?.iter().filter_map(|name| parse_segment_number(name)).collect();
         segments.sort_unstable();
         let mut recovered = RecoveredState::default();
         if let Some(newest) = segments.pop() {
@@ -125,12 +130,12 @@
         Ok((log, recovered))
     }
 
-    /// Replays a segment's records; the log holds none of their messages afterwards.
+    /// Replays the records of a segment and moves the resulting state out of the log.
     fn recover(&mut self, segment: &[u8]) -> RecoveredState {
         let mut recovered = RecoveredState::default();
         if let Some(frames) = segment.strip_prefix(SEGMENT_HEADER) {
             self.replay_frames(frames, &mut recovered);
-        } else if let Some(records) = segment.strip_prefix(SEGMENT_HEADER_WITHOUT_FRAMES) {
+        } else if let Some(records) = segment.strip_prefix(UNFRAMED_SEGMENT_HEADER) {
             self.replay_records(records, &mut recovered);
         } else {
             recovered.discarded_bytes = segment.len();
@@ -142,7 +147,7 @@
         recovered
     }
 
-    /// Applies batches up to the first one that can't be read.
+    /// Applies batches up to the first one that can't be decoded.
     fn replay_frames(&mut self, mut frames: &[u8], recovered: &mut RecoveredState) {
         for sequence in 0.. {
             if frames.is_empty() {
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Applies records up to the first one that can't be read.
+    /// Applies records without frames up to the first one that can't be decoded.
     fn replay_records(&mut self, mut records: &[u8], recovered: &mut RecoveredState) {
         while !records.is_empty() {
             match Record::decode(records) {
@@ -184,10 +189,11 @@
         }
     }
 
+    /// Updates the state of the live messages. Records of unknown messages are ignored.
     fn apply(&mut self, record: Record) {
         match record {
             Record::Submitted { message_number, message } => {
-                self.live_bytes += stored_size(&message);
+                self.live_bytes += max_encoded_size(&message);
                 self.live_messages.insert(message_number, *message);
             }
             Record::AttemptStarted { message_number, start } => {
@@ -213,7 +219,7 @@
             }
             Record::Completed { message_number } => {
                 if let Some(message) = self.live_messages.remove(&message_number) {
-                    self.live_bytes -= stored_size(&message);
+                    self.live_bytes -= max_encoded_size(&message);
                 }
             }
             Record::NameTable(names) => self.names = names,
@@ -227,7 +233,7 @@
         }
     }
 
-    /// Adds a record to the current turn. A record of a message that is not live is dropped.
+    /// Adds a record to the batch of the current turn. A record of a message that is not live is dropped.
     pub fn record(&mut self, record: Record) {
         let applies = match &record {
             Record::Submitted { .. } | Record::NameTable(_) | Record::ClockReference(_) => true,
@@ -243,39 +249,42 @@
         }
     }
 
-    /// A live message, with the records of the current turn applied.
+    /// Returns a live message, including the effect of records that are not committed yet.
     pub fn message(&self, message_number: u32) -> Option<&LiveMessage> {
         self.live_messages.get(&message_number)
     }
 
-    /// The store that holds the segments.
+    /// Returns the store that holds the segments.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// The store that holds the segments, to be changed.
+    /// Returns the store that holds the segments, for modification. Tests use it to inject faults.
     pub fn store_mut(&mut self) -> &mut S {
         &mut self.store
     }
 
-    /// Whether a message with a body of so many bytes may be submitted: it must fit beside all live messages.
+    /// Whether a message with a body of `body_length` bytes may be submitted: it must fit into the capacity together
+    /// with all live messages.
     pub fn has_room(&self, body_length: usize) -> bool {
-        let needed = self.live_bytes + body_length as u64 + MAX_BYTES_BESIDE_BODY;
-        needed <= (self.capacity as f64 * LIVE_MESSAGES_SHARE) as u64
+        let needed = self.live_bytes + body_length as u64 + MAX_METADATA_BYTES;
+        needed <= (self.capacity as f64 * MAX_LIVE_FRACTION) as u64
     }
 
-    /// Whether all records are stored; not after a commit that failed, whose successor stores them.
+    /// Whether all records are stored and no new segment is due. After a failed write this is false until a commit has
+    /// written a new segment.
     pub fn is_stored(&self) -> bool {
         self.batch.is_empty() && !self.needs_new_segment
     }
 
-    /// Writes the turn's records in one write, or compacts into a new segment where that is due.
+    /// Appends the records of the turn in one write, or compacts the log into a new segment if that is due.
     ///
     /// # Errors
     ///
-    /// Any of the store's. No recovery finds any of the turn's records then, and the caller must take back what must not
-    /// happen unlogged; the next commit starts a new segment with all that the log holds. A write that failed though all
-    /// of it is in the file, and can't be cut off again, is no error: recovery finds it.
+    /// The store can't be written. Recovery then finds none of the records of the turn, and the caller must undo
+    /// actions that require a stored record. The next commit starts a new segment with the complete state of the log.
+    /// If the store reports an error although the file holds the whole batch, and the batch can't be truncated again,
+    /// the commit counts as successful, because recovery finds the batch.
     pub fn commit(&mut self) -> io::Result<()> {
         if self.batch.is_empty() && !self.needs_new_segment {
             return Ok(());
@@ -285,33 +294,34 @@
             return self.compact();
         }
         let mut frame = Vec::with_capacity(records.len());
-        append_frame(self.frames, &mut frame, |out| out.extend_from_slice(&records));
+        append_frame(self.frame_count, &mut frame, |out| out.extend_from_slice(&records));
         self.append(&frame)
     }
 
-    /// Appends a frame to the segment.
+    /// Appends a frame to the current segment.
     fn append(&mut self, frame: &[u8]) -> io::Result<()> {
         let name = segment_name(self.segment);
         let end = self.segment_length + frame.len() as u64;
         if let Err(error) = self.store.append(&name, frame) {
-            // Guards against a torn write with later frames behind it, which no recovery would read.
+            // Recovery would not read frames appended behind a torn one.
             self.needs_new_segment = true;
-            let is_cut = self.store.truncate(&name, self.segment_length).is_ok();
-            let is_whole = !is_cut && self.store.length(&name).is_ok_and(|length| length >= end);
-            return if is_whole { Ok(()) } else { Err(error) };
+            let is_truncated = self.store.truncate(&name, self.segment_length).is_ok();
+            let is_complete = !is_truncated && self.store.length(&name).is_ok_and(|length| length >= end);
+            return if is_complete { Ok(()) } else { Err(error) };
         }
         self.segment_length = end;
-        self.frames += 1;
+        self.frame_count += 1;
         Ok(())
     }
 
+    /// Whether the current segment would become too large with the batch, or consists mostly of completed messages.
     fn is_compaction_due(&self, batch_length: usize) -> bool {
         let is_full =
-            self.segment_length + batch_length as u64 > (self.capacity as f64 * SEGMENT_SHARE) as u64;
-        is_full || self.segment_length > self.live_bytes * MAX_SIZE_RATIO + MIN_DEAD_BYTES
+            self.segment_length + batch_length as u64 > (self.capacity as f64 * COMPACTION_FRACTION) as u64;
+        is_full || self.segment_length > self.live_bytes * COMPACTION_SIZE_RATIO + MIN_DEAD_BYTES
     }
 
-    /// Writes the live messages to a new segment, which then replaces the old one.
+    /// Writes the state of the log to a new segment, which then replaces the current one.
     fn compact(&mut self) -> io::Result<()> {
         self.needs_new_segment = true;
         self.remove_obsolete_files()?;
@@ -319,25 +329,26 @@
         let next = self.segment + 1;
         let written = self.store.append(TEMPORARY_NAME, &bytes);
         if let Err(error) = written.and_then(|()| self.store.rename(TEMPORARY_NAME, &segment_name(next))) {
-            // A rename that failed may have happened all the same: then recovery finds the new segment.
+            // The rename may have taken effect although it reported an error. Recovery would then find the new segment.
             let is_renamed = self.store.length(&segment_name(next)).is_ok();
             if !is_renamed || self.store.remove(&segment_name(next)).is_ok() {
                 self.obsolete_files.push(TEMPORARY_NAME.to_owned());
                 return Err(error);
             }
         }
-        // From here on the new segment counts, whether the old one could be removed or not.
+        // From here on the new segment is the current one, even if the old one can't be removed.
         let old = std::mem::replace(&mut self.segment, next);
         self.segment_length = bytes.len() as u64;
-        self.frames = 1;
+        self.frame_count = 1;
         self.needs_new_segment = false;
-        // Recovery reads the newest segment. One that can't be removed now is removed ahead of the next segment.
+        // Recovery ignores the old segment. If it can't be removed now, it is removed before the next segment is
+        // written.
         self.obsolete_files.push(segment_name(old));
         let _ = self.remove_obsolete_files();
         Ok(())
     }
 
-    /// Removes files that count no longer; those that can't be removed stay for the next call.
+    /// Removes obsolete files, up to the first one that can't be removed. The rest is left for the next call.
     fn remove_obsolete_files(&mut self) -> io::Result<()> {
         while let Some(name) = self.obsolete_files.last() {
             self.store.remove(name)?;
@@ -346,7 +357,7 @@
         Ok(())
     }
 
-    /// Bytes of a segment with the state of the log and nothing more.
+    /// Encodes a segment with one batch that holds the complete state of the log.
     fn encode_segment(&self) -> Vec<u8> {
         let mut bytes = SEGMENT_HEADER.to_vec();
         append_frame(0, &mut bytes, |out| {
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,135 +1,138 @@
-//! Records of the log, and the state of a message that they add up to.
+//! Record types of the log, and the message state that results from replaying them.
 
-/// How a message ended that was not delivered. The platform must be notified of it.
+/// Final state of a message that was not delivered. The platform must be notified of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TerminalState {
-    /// The message may have taken effect.
+    /// The message can't be delivered any more, but an attempt may have taken effect.
     Undeliverable,
-    /// The message never took effect. It may be submitted again after so many milliseconds, if there is such a time.
+    /// The message did not take effect and may be submitted again, after this many milliseconds if a delay is known.
     Deferred(Option<u64>),
 }
 
-/// What the log knows of a message that is not complete.
+/// State of a message that is not yet complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LiveMessage {
-    /// The client's id of the message.
+    /// Message id chosen by the client.
     pub id: Vec<u8>,
-    /// Its idempotency key, if its class has one.
+    /// Idempotency key, if the class of the message uses one.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Index of its class.
+    /// Class, as an index into [`NameTable::classes`].
     pub class: u8,
-    /// Number of its destination.
+    /// Destination number.
     pub destination: u16,
-    /// Its order key; 0 for none.
+    /// Order key; 0 if the message has none.
     pub order_key: u64,
-    /// When it was submitted, in Unix nanoseconds.
+    /// Time of submission, in Unix nanoseconds.
     pub submitted_at: u64,
-    /// When delivery is given up, in Unix nanoseconds.
+    /// Time after which delivery is no longer attempted, in Unix nanoseconds.
     pub deadline: u64,
-    /// Whether a gateway instance that was lost held it before.
+    /// Whether the message was submitted before to a gateway instance that was lost.
     pub from_lost_instance: bool,
-    /// Number of attempts started.
+    /// Number of attempts started, without withdrawn ones.
     pub attempts: u16,
-    /// The first attempt that may have run.
+    /// First attempt whose request an endpoint may have processed.
     pub first_possible_run: Option<AttemptStart>,
-    /// The attempt that was started and has no outcome yet.
+    /// Attempt that was started and has no outcome yet.
     pub open_attempt: Option<AttemptStart>,
-    /// How it ended, where the platform has not acknowledged the notification yet.
+    /// Final state that the platform must be notified of, until it acknowledges the notification.
     pub pending_notification: Option<TerminalState>,
-    /// What is delivered; empty once the message has ended.
+    /// Body to deliver; empty once a notification is pending.
     pub body: Vec<u8>,
 }
 
-/// An index that a log of an earlier version does not hold, or that no name in the settings stands for.
+/// Placeholder for an index or code that the log does not hold (written by an earlier version), or that no configured
+/// name corresponds to.
 pub const UNKNOWN_INDEX: u8 = u8::MAX;
 
-/// Time and zone of an attempt.
+/// Start time and zone of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
-    /// When it was started, in Unix nanoseconds.
+    /// Start time, in Unix nanoseconds.
     pub started_at: u64,
-    /// Index of its zone.
+    /// Zone of the endpoint, as an index into [`NameTable::zones`], or [`UNKNOWN_INDEX`].
     pub zone: u8,
 }
 
-/// A class of messages as it was when the log was written.
+/// Name and effect of a message class at the time the log was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassEntry {
-    /// Its name in the settings; empty for the class that no setting names.
+    /// Name of the class in the settings; empty for the fallback class, which is not configured.
     pub name: String,
-    /// The writer's code for the effect of a repeated delivery; [`UNKNOWN_INDEX`] where the log does not hold it.
+    /// Code of the effect of a repeated delivery, defined by the user of this crate; [`UNKNOWN_INDEX`] if the log does
+    /// not hold it.
     pub effect: u8,
 }
 
-/// The names behind the indices in the messages of a segment. Settings may have changed since they were written.
+/// Names behind the class and zone indices in a segment. They are stored because the settings, and with them the
+/// indices, may have changed when the segment is recovered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NameTable {
-    /// Classes, by index.
+    /// Classes, in the order of their indices.
     pub classes: Vec<ClassEntry>,
-    /// Names of the zones, by index.
+    /// Zone names, in the order of their indices.
     pub zones: Vec<String>,
 }
 
-/// A moment on two clocks, by which a later process tells how much real time has passed since.
+/// The same instant on two clocks. A later process uses it to determine how much time has passed since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReference {
-    /// The writer's time, in Unix nanoseconds: that of all times in the log.
+    /// Time of the process that wrote the log, in Unix nanoseconds. All times in the log are on this clock.
     pub unix_time: u64,
-    /// The machine's monotonic clock at that moment, in nanoseconds.
+    /// Monotonic clock of the machine at the same instant, in nanoseconds.
     pub monotonic: u64,
-    /// The boot of the machine that the monotonic clock belongs to.
+    /// Boot of the machine. Readings of the monotonic clock are comparable only within one boot.
     pub boot: BootId,
 }
 
-/// Identifies one boot of a machine.
+/// Identifier of one boot of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootId(pub [u8; 16]);
 
 /// One entry of the log.
 ///
-/// `message_number` is the gateway's own number of a message, unique while the message is live.
+/// `message_number` is a number that the gateway assigns to a message. It is unique among live messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A message was accepted; in a new segment, a live message as it stands.
+    /// A message was accepted. At the start of a segment, this holds the current state of a live message.
     Submitted {
-        /// The message's number.
+        /// Number that later records of the message refer to.
         message_number: u32,
-        /// Its state.
+        /// State of the message, including its body.
         message: Box<LiveMessage>,
     },
     /// An attempt to deliver the message was started.
     AttemptStarted {
-        /// The message's number.
+        /// Number of a live message.
         message_number: u32,
-        /// Time and zone of the attempt.
+        /// Start time and zone of the attempt.
         start: AttemptStart,
     },
-    /// The attempt in flight has its outcome.
+    /// The attempt in flight has an outcome.
     AttemptCompleted {
-        /// The message's number.
+        /// Number of a live message.
         message_number: u32,
         /// Whether the endpoint may have processed the request.
         may_have_run: bool,
     },
     /// The message ended undelivered and the platform must be notified.
     NotificationPending {
-        /// The message's number.
+        /// Number of a live message.
         message_number: u32,
-        /// How it ended.
+        /// Final state to report.
         state: TerminalState,
     },
     /// The message is complete: delivered, cancelled, or its notification acknowledged.
     Completed {
-        /// The message's number.
+        /// Number of a live message.
         message_number: u32,
     },
-    /// What the indices in the messages of this segment mean.
+    /// The names behind the class and zone indices in this segment.
     NameTable(NameTable),
-    /// The clock of the times in this segment.
+    /// Reference for the times in this segment.
     ClockReference(ClockReference),
-    /// The attempt in flight was not sent after all: it counts as if it had never been started.
+    /// The attempt in flight was logged but not sent. It is treated as if it had never been started.
     AttemptWithdrawn {
-        /// The message's number.
+        /// Number of a live message.
         message_number: u32,
     },
 }
--- a/crates/wal/src/store.rs
+++ b/crates/wal/src/store.rs
@@ -1,13 +1,13 @@
-//! Where segments are kept: the trait, the file system, and memory for tests.
+//! Storage of segments: the [`SegmentStore`] trait and its implementations for a directory and for memory.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// Named files that outlast the process.
+/// A flat set of named files that outlive the process.
 pub trait SegmentStore {
-    /// Names of all files.
+    /// Lists the names of all files.
     ///
     /// # Errors
     ///
@@ -19,31 +19,31 @@
     ///
     /// The file does not exist or can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Length of a file, in bytes.
+    /// Returns the length of a file, in bytes.
     ///
     /// # Errors
     ///
-    /// The file does not exist or can't be looked at.
+    /// The file does not exist or its length can't be determined.
     fn length(&self, name: &str) -> io::Result<u64>;
-    /// Appends to a file, which is created if need be, in one write.
+    /// Appends to a file in one write, and creates the file if it does not exist.
     ///
     /// # Errors
     ///
-    /// The store is full or can't be written; part of the bytes may have been appended.
+    /// The store is full or can't be written. Some of the bytes may have been appended nevertheless.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to a length in bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
     ///
     /// The file can't be changed.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Renames a file; one that has the new name is replaced.
+    /// Renames a file. An existing file with the new name is replaced.
     ///
     /// # Errors
     ///
     /// The file does not exist or can't be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file; one that is not there is no error.
+    /// Removes a file. It is not an error if the file does not exist.
     ///
     /// # Errors
     ///
@@ -51,24 +51,26 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory of the file system.
+/// A store in a directory of the file system.
 pub struct DirectoryStore {
     path: PathBuf,
-    /// The file appended to last, kept open.
+    /// The file that was appended to last, kept open for the next append.
     open: Option<OpenFile>,
 }
 
+/// A file open for appending.
 struct OpenFile {
     name: String,
     file: File,
 }
 
 impl DirectoryStore {
-    /// The directory at this path, which must exist.
+    /// Creates a store in the directory at `path`, which must exist.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         DirectoryStore { path: path.into(), open: None }
     }
 
+    /// Closes the file `name` if it is open, so that the next append opens the file that has this name by then.
     fn close(&mut self, name: &str) {
         self.open.take_if(|open| open.name == name);
     }
@@ -127,21 +129,23 @@
     }
 }
 
-/// Size of a block in [`MemoryStore`]; a file takes whole blocks.
+/// Block size of [`MemoryStore`]. The space that a file takes is rounded up to whole blocks, as in a file system.
 const BLOCK_BYTES: usize = 512;
 
-/// A store in memory, which can be made to run out of space.
+/// A store in memory, for tests. Its space can be limited.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore {
-    /// Contents of the files, by name.
+    /// File contents by file name.
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Bytes that may still be written, where that is limited; a write beyond them is torn and fails.
+    /// Number of bytes that can still be written; unlimited if `None`. A write that exceeds it is cut off there and
+    /// fails.
     pub free_bytes: Option<usize>,
-    /// Most bytes held at once so far, with each file in whole blocks.
+    /// Largest total size of all files so far, in bytes, with each file rounded up to whole blocks.
     pub peak_bytes: usize,
 }
 
 impl MemoryStore {
+    /// Updates [`MemoryStore::peak_bytes`] after a write.
     fn update_peak(&mut self) {
         let size = self.files.values().map(|file| file.len().next_multiple_of(BLOCK_BYTES)).sum();
         self.peak_bytes = self.peak_bytes.max(size);
--- a/crates/wal/tests/log.rs
+++ b/crates/wal/tests/log.rs
@@ -1,4 +1,4 @@
-//! Recovery after a cut at every byte, damage and crashes; commits to a full store; segments under the capacity.
+//! Recovery after truncation at every byte, corruption and crashes; commits that fail; the capacity limit.
 
 use cloverstile_wal::store::{DirectoryStore, MemoryStore, SegmentStore};
 use cloverstile_wal::{
@@ -24,34 +24,35 @@
     }
 }
 
-fn start(at: u64) -> AttemptStart {
+fn attempt_start(at: u64) -> AttemptStart {
     AttemptStart { started_at: at, zone: at as u8 % 3 }
 }
 
-fn class(name: &str, effect: u8) -> ClassEntry {
+fn class_entry(name: &str, effect: u8) -> ClassEntry {
     ClassEntry { name: name.to_owned(), effect }
 }
 
+/// Opens a log; returns it with the recovered messages and the number of discarded bytes.
 fn open(store: MemoryStore) -> (Log<MemoryStore>, Vec<LiveMessage>, usize) {
     let (log, recovered) = Log::open(store, CAPACITY_BYTES).unwrap();
     (log, recovered.messages, recovered.discarded_bytes)
 }
 
-fn newest(store: &MemoryStore) -> String {
+fn newest_segment_name(store: &MemoryStore) -> String {
     store.files.keys().next_back().unwrap().clone()
 }
 
-/// The store after each of a series of records, each committed in a turn of its own.
+/// Commits a series of records one by one, and returns a copy of the store after each commit.
 fn stores_after_each_record() -> Vec<MemoryStore> {
     let records = vec![
         Record::Submitted { message_number: 1, message: Box::new(message(1, 30)) },
         Record::Submitted { message_number: 2, message: Box::new(message(2, 300)) },
-        Record::AttemptStarted { message_number: 1, start: start(11) },
+        Record::AttemptStarted { message_number: 1, start: attempt_start(11) },
         Record::AttemptCompleted { message_number: 1, may_have_run: false },
-        Record::AttemptStarted { message_number: 2, start: start(12) },
+        Record::AttemptStarted { message_number: 2, start: attempt_start(12) },
         Record::AttemptCompleted { message_number: 2, may_have_run: true },
-        Record::AttemptStarted { message_number: 2, start: start(13) },
-        Record::AttemptStarted { message_number: 1, start: start(14) },
+        Record::AttemptStarted { message_number: 2, start: attempt_start(13) },
+        Record::AttemptStarted { message_number: 1, start: attempt_start(14) },
         Record::NotificationPending { message_number: 2, state: TerminalState::Deferred(Some(700)) },
         Record::Completed { message_number: 1 },
         Record::Completed { message_number: 2 },
@@ -69,27 +70,27 @@
 }
 
 #[test]
-fn recovery_after_a_cut_at_any_byte_discards_the_torn_record_only() {
+fn recovery_of_a_segment_truncated_at_any_byte_discards_only_the_torn_record() {
     let states = stores_after_each_record();
     let whole = states.last().unwrap();
-    let name = newest(whole);
+    let name = newest_segment_name(whole);
     let ends: Vec<usize> = states.iter().map(|state| state.files[&name].len()).collect();
     for cut in ends[0]..=whole.files[&name].len() {
         let mut store = whole.clone();
         store.files.get_mut(&name).unwrap().truncate(cut);
         let steps_left = ends.iter().filter(|end| **end <= cut).count();
-        let (_, live, torn) = open(store);
-        let (_, expected, none) = open(states[steps_left - 1].clone());
+        let (_, live, discarded) = open(store);
+        let (_, expected, none_discarded) = open(states[steps_left - 1].clone());
         assert_eq!(live, expected, "cut at {cut}");
-        assert_eq!((torn, none), (cut - ends[steps_left - 1], 0), "cut at {cut}");
+        assert_eq!((discarded, none_discarded), (cut - ends[steps_left - 1], 0), "cut at {cut}");
     }
 }
 
 #[test]
-fn recovery_stops_before_a_record_with_a_damaged_byte() {
+fn recovery_stops_before_a_corrupted_record() {
     let states = stores_after_each_record();
     let (before, whole) = (&states[3], &states[10]);
-    let name = newest(whole);
+    let name = newest_segment_name(whole);
     let at = before.files[&name].len();
     for damaged in at..states[4].files[&name].len() {
         let mut store = whole.clone();
@@ -105,17 +106,20 @@
     let second = &at(7)[1];
     assert_eq!(
         (second.attempts, second.first_possible_run, second.open_attempt),
-        (2, Some(start(12)), Some(start(13)))
+        (2, Some(attempt_start(12)), Some(attempt_start(13)))
     );
     let first = &at(7)[0];
-    assert_eq!((first.attempts, first.first_possible_run, first.open_attempt), (2, None, Some(start(14))));
+    assert_eq!(
+        (first.attempts, first.first_possible_run, first.open_attempt),
+        (2, None, Some(attempt_start(14)))
+    );
     assert_eq!(at(8)[1].pending_notification, Some(TerminalState::Deferred(Some(700))));
     assert!(at(8)[1].body.is_empty());
     assert!(at(10).is_empty());
 }
 
 #[test]
-fn segments_stay_under_the_capacity_and_keep_all_live_messages() {
+fn compaction_stays_within_the_capacity_and_keeps_all_live_messages() {
     let (mut log, ..) = open(MemoryStore::default());
     let mut live = BTreeMap::new();
     for number in 1..6000u32 {
@@ -125,7 +129,7 @@
                 message_number: number,
                 message: Box::new(message(number, body)),
             });
-            log.record(Record::AttemptStarted { message_number: number, start: start(5) });
+            log.record(Record::AttemptStarted { message_number: number, start: attempt_start(5) });
             live.insert(number, body);
         }
         if number % 5 != 0 && number > 200 {
@@ -136,23 +140,23 @@
     }
     let store = log.store().clone();
     assert!(store.peak_bytes <= CAPACITY_BYTES as usize, "{} of {CAPACITY_BYTES}", store.peak_bytes);
-    assert!(store.peak_bytes > CAPACITY_BYTES as usize / 3, "the capacity was never near");
+    assert!(store.peak_bytes > CAPACITY_BYTES as usize / 3, "the test never came near the capacity");
     let found: Vec<usize> = open(store).1.iter().map(|message| message.body.len()).collect();
     assert_eq!(found, live.into_values().collect::<Vec<_>>());
 }
 
 #[test]
-fn recovery_with_two_segments_reads_the_newer() {
+fn recovery_reads_only_the_newest_segment() {
     let (mut log, ..) = open(MemoryStore::default());
     log.record(Record::Submitted { message_number: 1, message: Box::new(message(1, 9)) });
     log.commit().unwrap();
     let mut store = log.store().clone();
-    let name = newest(&store);
+    let name = newest_segment_name(&store);
     let old = store.files[&name].clone();
     store.files.insert("log.0".into(), old.clone());
     store.files.insert("log.tmp".into(), old[..old.len() / 2].to_vec());
-    let (_, live, torn) = open(store);
-    assert_eq!((live.len(), torn), (1, 0));
+    let (_, live, discarded) = open(store);
+    assert_eq!((live.len(), discarded), (1, 0));
 }
 
 #[test]
@@ -164,7 +168,7 @@
     log.record(Record::Completed { message_number: 1 });
     log.record(Record::Submitted { message_number: 2, message: Box::new(message(2, 100)) });
     assert!(log.commit().is_err());
-    // Nothing of the turn is stored: half of it would hide what comes later.
+    // No record of the turn is stored: recovery would not read batches behind a torn one.
     assert_eq!(open(log.store_mut().clone()).1.len(), 1);
     assert!(log.commit().is_err(), "still full");
     log.store_mut().free_bytes = None;
@@ -193,21 +197,21 @@
 
 proptest! {
     #[test]
-    fn recovery_accepts_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn recovery_of_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let head = b"cloverstile-log 1\n".to_vec();
         let files = BTreeMap::from([("log.3".to_owned(), [head, bytes].concat())]);
         open(MemoryStore { files, ..MemoryStore::default() });
     }
 }
 
-/// The name table survives the process, and compaction into a new segment.
+/// The name table must survive a restart, which compacts the log into a new segment.
 #[test]
 fn name_table_is_recovered_from_every_segment() {
     let mut store = MemoryStore::default();
     for round in 0..3 {
         let (mut log, recovered) = Log::open(store, 1 << 20).unwrap();
         let names = |round: u8| NameTable {
-            classes: vec![class(&format!("a{round}"), round), class("b", 3)],
+            classes: vec![class_entry(&format!("a{round}"), round), class_entry("b", 3)],
             zones: vec!["here".to_owned(), format!("z{round}")],
         };
         assert_eq!(recovered.names, if round == 0 { NameTable::default() } else { names(round - 1) });
@@ -218,42 +222,55 @@
     }
 }
 
-/// A log of the version that did not store zones and effects: an upgrade loses nothing of it.
+/// Guards an upgrade from the version that did not store zones and effects against losing records: their payloads end
+/// before these fields.
 #[test]
-fn records_of_versions_without_zones_are_decoded() {
-    let shorter = |record: Record, by: usize| {
+fn records_without_zones_and_effects_are_decoded() {
+    let encode_without_last_bytes = |record: Record, by: usize| {
         let mut bytes = Vec::new();
         record.encode(&mut bytes);
         let payload = bytes[8..bytes.len() - by].to_vec();
         let length = (payload.len() as u32).to_le_bytes();
         [&length[..], &crc32fast::hash(&payload).to_le_bytes(), &payload].concat()
     };
-    let submitted =
-        LiveMessage { first_possible_run: Some(start(11)), open_attempt: Some(start(12)), ..message(1, 30) };
-    let names = NameTable { classes: vec![class("a", 1), class("b", 2)], zones: Vec::new() };
+    let submitted = LiveMessage {
+        first_possible_run: Some(attempt_start(11)),
+        open_attempt: Some(attempt_start(12)),
+        ..message(1, 30)
+    };
+    let names = NameTable { classes: vec![class_entry("a", 1), class_entry("b", 2)], zones: Vec::new() };
     let bytes = [
         b"cloverstile-log 1\n".to_vec(),
-        shorter(Record::NameTable(names), 2),
-        shorter(Record::Submitted { message_number: 1, message: Box::new(submitted) }, 2),
-        shorter(Record::Submitted { message_number: 2, message: Box::new(message(2, 30)) }, 2),
-        shorter(Record::AttemptStarted { message_number: 2, start: start(13) }, 1),
+        encode_without_last_bytes(Record::NameTable(names), 2),
+        encode_without_last_bytes(Record::Submitted { message_number: 1, message: Box::new(submitted) }, 2),
+        encode_without_last_bytes(
+            Record::Submitted { message_number: 2, message: Box::new(message(2, 30)) },
+            2,
+        ),
+        encode_without_last_bytes(Record::AttemptStarted { message_number: 2, start: attempt_start(13) }, 1),
     ];
     let files = BTreeMap::from([("log.3".to_owned(), bytes.concat())]);
     let (_, recovered) = Log::open(MemoryStore { files, ..MemoryStore::default() }, CAPACITY_BYTES).unwrap();
-    let old = |at| Some(AttemptStart { started_at: at, zone: UNKNOWN_INDEX });
+    let start_in_unknown_zone = |at| Some(AttemptStart { started_at: at, zone: UNKNOWN_INDEX });
     let found: Vec<_> =
         recovered.messages.iter().map(|message| (message.first_possible_run, message.open_attempt)).collect();
-    assert_eq!((found, recovered.discarded_bytes), (vec![(old(11), old(12)), (None, old(13))], 0));
-    assert_eq!(recovered.names.classes, [class("a", UNKNOWN_INDEX), class("b", UNKNOWN_INDEX)]);
+    assert_eq!(
+        (found, recovered.discarded_bytes),
+        (vec![(start_in_unknown_zone(11), start_in_unknown_zone(12)), (None, start_in_unknown_zone(13))], 0)
+    );
+    assert_eq!(recovered.names.classes, [class_entry("a", UNKNOWN_INDEX), class_entry("b", UNKNOWN_INDEX)]);
 }
 
-/// The store of a process that crashes at its Nth change: a write is torn then, and nothing follows.
+/// Simulates a process that crashes at its Nth change of the store: an append is cut off half way, and all later
+/// changes fail.
 struct CrashingStore<'a> {
     store: &'a mut MemoryStore,
+    /// Number of changes up to and including the one that crashes.
     changes_left: usize,
 }
 
 impl CrashingStore<'_> {
+    /// Counts a change and returns the store, or an error from the crash on.
     fn change(&mut self) -> std::io::Result<&mut MemoryStore> {
         self.changes_left = self.changes_left.saturating_sub(1);
         if self.changes_left == 0 {
@@ -291,7 +308,8 @@
     }
 }
 
-/// One process: recovers the messages, and then submits one more; whether that was committed.
+/// Simulates a process that recovers the messages and then submits a new one. Returns whether the new one was
+/// committed.
 fn run_process(store: &mut MemoryStore, changes_left: usize, new_message: u32) -> bool {
     let Ok((mut log, recovered)) = Log::open(CrashingStore { store, changes_left }, CAPACITY_BYTES) else {
         return false;
@@ -310,18 +328,18 @@
     log.commit().is_ok()
 }
 
-/// Crashes at every change of the store, in one process and in the next one as well: the third recovers what was
-/// committed, once each.
+/// Two processes in a row crash, each at any of its changes of the store. The third must recover every committed
+/// message exactly once.
 #[test]
-fn two_crashes_at_any_step_of_recovery_lose_and_duplicate_no_message() {
+fn two_consecutive_crashes_neither_lose_nor_duplicate_messages() {
     let (mut log, ..) = open(MemoryStore::default());
     (1..4).for_each(|number| {
         log.record(Record::Submitted { message_number: number, message: Box::new(message(number, 30)) });
     });
     log.commit().unwrap();
     let mut start = log.store().clone();
-    // Left by an earlier process: an older segment and a torn one.
-    let name = newest(&start);
+    // Files left by an earlier process: an older segment and an incomplete one.
+    let name = newest_segment_name(&start);
     let old = start.files[&name].clone();
     start.files.insert("log.0".into(), old.clone());
     start.files.insert("log.tmp".into(), old[..old.len() / 2].to_vec());
@@ -343,16 +361,18 @@
     assert!(crashes > 60 && commits > 40, "{crashes} crashes, {commits} commits");
 }
 
-/// A frame of these records, by its definition: length, checksum over sequence number and records, sequence number.
+/// Encodes a frame independently of the implementation: length, checksum of sequence number and records, sequence
+/// number, records.
 fn frame(sequence: u64, records: &[u8]) -> Vec<u8> {
     let checked = [&sequence.to_le_bytes()[..], records].concat();
     let length = (records.len() as u32).to_le_bytes();
     [&length[..], &crc32fast::hash(&checked).to_le_bytes(), &checked].concat()
 }
 
-/// A batch cut at any byte is absent: a message that was submitted and refused in one turn is not a submitted one.
+/// Guards against recovering part of a batch: a message that was submitted and refused in the same turn would come back
+/// as a submitted one.
 #[test]
-fn recovery_after_a_cut_inside_a_batch_finds_none_of_it() {
+fn recovery_applies_no_record_of_a_truncated_batch() {
     let (mut log, ..) = open(MemoryStore::default());
     log.record(Record::Submitted { message_number: 1, message: Box::new(message(1, 30)) });
     log.commit().unwrap();
@@ -361,7 +381,7 @@
     log.record(Record::Completed { message_number: 2 });
     log.record(Record::Submitted { message_number: 3, message: Box::new(message(3, 30)) });
     log.commit().unwrap();
-    let (name, whole) = (newest(&before), log.store().clone());
+    let (name, whole) = (newest_segment_name(&before), log.store().clone());
     for cut in before.files[&name].len()..whole.files[&name].len() {
         let mut store = whole.clone();
         store.files.get_mut(&name).unwrap().truncate(cut);
@@ -370,16 +390,16 @@
     assert_eq!(open(whole).1.len(), 2);
 }
 
-/// A store that fails in chosen ways.
+/// A store with injected faults.
 #[derive(Default)]
 struct FailingStore {
     store: MemoryStore,
-    /// The next write is torn after so many bytes.
-    torn_after: Option<usize>,
-    /// Nothing can be cut to a length.
-    refuses_to_truncate: bool,
-    /// Nothing can be removed.
-    refuses_to_remove: bool,
+    /// The next append writes only this many bytes and fails.
+    tear_append_after: Option<usize>,
+    /// Every truncation fails.
+    truncate_fails: bool,
+    /// Every removal fails.
+    remove_fails: bool,
 }
 
 impl SegmentStore for FailingStore {
@@ -393,13 +413,13 @@
         self.store.length(name)
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-        let Some(written) = self.torn_after.take() else { return self.store.append(name, bytes) };
+        let Some(written) = self.tear_append_after.take() else { return self.store.append(name, bytes) };
         self.store.append(name, &bytes[..written.min(bytes.len())])?;
         Err(std::io::Error::other("torn"))
     }
     fn truncate(&mut self, name: &str, length: u64) -> std::io::Result<()> {
-        if self.refuses_to_truncate {
-            return Err(std::io::Error::other("can't be cut"));
+        if self.truncate_fails {
+            return Err(std::io::Error::other("can't be truncated"));
         }
         self.store.truncate(name, length)
     }
@@ -407,22 +427,22 @@
         self.store.rename(from, to)
     }
     fn remove(&mut self, name: &str) -> std::io::Result<()> {
-        if self.refuses_to_remove {
+        if self.remove_fails {
             return Err(std::io::Error::other("can't be removed"));
         }
         self.store.remove(name)
     }
 }
 
-/// A commit that fails after any number of bytes: recovery finds all of the turn where it was reported as done, and none of
-/// it where it was reported as failed.
+/// A write can fail after any number of bytes. Recovery must find all records of the turn if the commit reported
+/// success, and none if it reported an error.
 #[test]
-fn recovery_agrees_with_the_result_of_every_torn_commit() {
+fn torn_batch_is_recovered_if_and_only_if_its_commit_succeeded() {
     for written in 0..300 {
-        let store = FailingStore { refuses_to_truncate: true, ..FailingStore::default() };
+        let store = FailingStore { truncate_fails: true, ..FailingStore::default() };
         let (mut log, _) = Log::open(store, CAPACITY_BYTES).unwrap();
         log.commit().unwrap();
-        log.store_mut().torn_after = Some(written);
+        log.store_mut().tear_append_after = Some(written);
         log.record(Record::Submitted { message_number: 1, message: Box::new(message(1, 30)) });
         log.record(Record::Submitted { message_number: 2, message: Box::new(message(2, 30)) });
         let committed = log.commit().is_ok();
@@ -434,12 +454,13 @@
     }
 }
 
-/// Segments that can't be removed do not add up: over its capacity the platform takes the process for crashed.
+/// Guards against segments that pile up because they can't be removed: the platform treats a process that exceeds its
+/// disk capacity as crashed.
 #[test]
-fn segments_that_can_not_be_removed_stay_under_the_capacity() {
+fn segments_that_can_not_be_removed_stay_within_the_capacity() {
     let (mut log, _) = Log::open(FailingStore::default(), CAPACITY_BYTES).unwrap();
     log.commit().unwrap();
-    log.store_mut().refuses_to_remove = true;
+    log.store_mut().remove_fails = true;
     let mut failed = 0;
     for number in 1..3000u32 {
         log.record(Record::Submitted { message_number: number, message: Box::new(message(number, 900)) });
@@ -447,25 +468,25 @@
         failed += u32::from(log.commit().is_err());
     }
     assert!(log.store().store.peak_bytes <= CAPACITY_BYTES as usize && failed > 0);
-    log.store_mut().refuses_to_remove = false;
+    log.store_mut().remove_fails = false;
     log.record(Record::Submitted { message_number: 1, message: Box::new(message(1, 9)) });
     log.commit().unwrap();
     assert_eq!(log.store().store.files.len(), 1);
     assert_eq!(open(log.store().store.clone()).1.len(), 1);
 }
 
-/// An attempt that was logged and not sent counts as none.
+/// An attempt that was logged but not sent must not count as an attempt.
 #[test]
-fn withdrawn_attempt_leaves_no_trace_on_its_message() {
+fn withdrawn_attempt_is_not_counted() {
     let (mut log, ..) = open(MemoryStore::default());
     log.record(Record::Submitted { message_number: 1, message: Box::new(message(1, 30)) });
-    log.record(Record::AttemptStarted { message_number: 1, start: start(11) });
+    log.record(Record::AttemptStarted { message_number: 1, start: attempt_start(11) });
     log.record(Record::AttemptWithdrawn { message_number: 1 });
     log.commit().unwrap();
     assert_eq!(open(log.store().clone()).1, [message(1, 30)]);
 }
 
-/// The clock of a log's times is in every segment.
+/// The clock reference must be in every segment, or the times in it could not be interpreted.
 #[test]
 fn clock_reference_is_recovered_from_every_segment() {
     let reference = ClockReference { unix_time: 1 << 60, monotonic: 77, boot: BootId([9; 16]) };
@@ -479,32 +500,35 @@
     }
 }
 
-/// A discarded tail is reported with the reason; a whole segment without one.
+/// A discarded tail must be reported with the decode error; an intact segment is reported without one.
 #[test]
-fn recovery_reports_why_a_tail_was_discarded() {
+fn recovery_reports_the_decode_error_of_a_discarded_tail() {
     let whole = stores_after_each_record().pop().unwrap();
-    let name = newest(&whole);
-    let error_after = |change: fn(&mut Vec<u8>)| {
+    let name = newest_segment_name(&whole);
+    let decode_error_after = |change: fn(&mut Vec<u8>)| {
         let mut store = whole.clone();
         change(store.files.get_mut(&name).unwrap());
         Log::open(store, CAPACITY_BYTES).unwrap().1.decode_error
     };
-    assert_eq!(error_after(|_| ()), None);
-    assert_eq!(error_after(|bytes| bytes.truncate(bytes.len() - 1)), Some(DecodeError::Truncated));
-    assert_eq!(error_after(|bytes| *bytes.last_mut().unwrap() ^= 1), Some(DecodeError::ChecksumMismatch));
-    assert_eq!(error_after(|bytes| bytes.extend([0xff; 16])), Some(DecodeError::TooLong(0xffff_ffff)));
+    assert_eq!(decode_error_after(|_| ()), None);
+    assert_eq!(decode_error_after(|bytes| bytes.truncate(bytes.len() - 1)), Some(DecodeError::Truncated));
+    assert_eq!(
+        decode_error_after(|bytes| *bytes.last_mut().unwrap() ^= 1),
+        Some(DecodeError::ChecksumMismatch)
+    );
+    assert_eq!(decode_error_after(|bytes| bytes.extend([0xff; 16])), Some(DecodeError::TooLong(0xffff_ffff)));
     let unknown_kind = [&[1, 0, 0, 0][..], &crc32fast::hash(&[99]).to_le_bytes(), &[99]].concat();
-    let error_of_tail = |tail: Vec<u8>| {
+    let decode_error_of_tail = |tail: Vec<u8>| {
         let mut store = whole.clone();
         store.files.get_mut(&name).unwrap().extend(tail);
         let recovered = Log::open(store, CAPACITY_BYTES).unwrap().1;
         (recovered.decode_error, recovered.discarded_bytes)
     };
-    // The first frame is that of the new segment, and each of the eleven records has one.
+    // The segment holds 12 frames: the one that compaction wrote, and one for each of the 11 records.
     let (of_unknown_kind, repeated) = (frame(12, &unknown_kind), frame(11, &[]));
-    assert_eq!(error_of_tail(of_unknown_kind), (Some(DecodeError::InvalidPayload), 25));
-    assert_eq!(error_of_tail(repeated), (Some(DecodeError::OutOfSequence), 16));
-    // The same record in a segment of the first version.
+    assert_eq!(decode_error_of_tail(of_unknown_kind), (Some(DecodeError::InvalidPayload), 25));
+    assert_eq!(decode_error_of_tail(repeated), (Some(DecodeError::OutOfSequence), 16));
+    // The same record in a segment of format version 1, which has no frames.
     let files = BTreeMap::from([("log.3".to_owned(), [b"cloverstile-log 1\n", &unknown_kind[..]].concat())]);
     let store = MemoryStore { files, ..MemoryStore::default() };
     let recovered = Log::open(store, CAPACITY_BYTES).unwrap().1;
--- a/crates/wal/tests/stored_data.rs
+++ b/crates/wal/tests/stored_data.rs
@@ -1,4 +1,5 @@
-//! Logs that earlier versions wrote are recovered to the same messages, byte for byte (`tests/data/README.md`).
+//! Recovery of logs written by earlier versions: each must yield the same messages as with the version that wrote it.
+//! The logs are described in `tests/data/README.md`.
 
 use cloverstile_wal::store::DirectoryStore;
 use cloverstile_wal::{AttemptStart, LiveMessage, Log, RecoveredState, TerminalState};
@@ -8,10 +9,10 @@
 
 const CAPACITY_BYTES: u64 = 1 << 20;
 
-/// A private copy of a stored folder: opening a log changes its folder.
-fn copy_of(folder: &str) -> PathBuf {
-    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(folder);
-    let copy = std::env::temp_dir().join(format!("cloverstile-stored-{}-{folder}", std::process::id()));
+/// Copies a stored log directory to a temporary one, because opening a log modifies its directory.
+fn copy_to_temporary_directory(directory: &str) -> PathBuf {
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(directory);
+    let copy = std::env::temp_dir().join(format!("cloverstile-stored-{}-{directory}", std::process::id()));
     let _ = fs::remove_dir_all(&copy);
     fs::create_dir_all(&copy).unwrap();
     for entry in fs::read_dir(source).unwrap() {
@@ -25,8 +26,8 @@
     start.map_or_else(|| "-".to_owned(), |start| format!("{}@{}", start.started_at, start.zone))
 }
 
-fn owed_text(owed: Option<TerminalState>) -> String {
-    match owed {
+fn pending_notification_text(state: Option<TerminalState>) -> String {
+    match state {
         None => "-".to_owned(),
         Some(TerminalState::Undeliverable) => "undeliverable".to_owned(),
         Some(TerminalState::Deferred(None)) => "deferred".to_owned(),
@@ -50,12 +51,12 @@
         message.attempts,
         start_text(message.first_possible_run),
         start_text(message.open_attempt),
-        owed_text(message.pending_notification),
+        pending_notification_text(message.pending_notification),
     )
 }
 
-/// What was recovered, in the form of `recovered.txt`.
-fn text_of(recovered: &RecoveredState) -> String {
+/// Formats the recovered state like `recovered.txt`.
+fn recovered_state_text(recovered: &RecoveredState) -> String {
     let mut text = format!("discarded_bytes={}\n", recovered.discarded_bytes);
     for class in &recovered.names.classes {
         writeln!(text, "class={} effect={}", class.name, class.effect).unwrap();
@@ -69,11 +70,12 @@
     text
 }
 
-fn assert_recovers(folder: &str) {
-    let copy = copy_of(folder);
+/// Asserts that the stored log in `directory` is recovered to the state in its `recovered.txt`.
+fn assert_recovers(directory: &str) {
+    let copy = copy_to_temporary_directory(directory);
     let expected = fs::read_to_string(copy.join("recovered.txt")).unwrap();
     let (_, recovered) = Log::open(DirectoryStore::new(&copy), CAPACITY_BYTES).unwrap();
-    assert_eq!(text_of(&recovered), expected, "{folder}");
+    assert_eq!(recovered_state_text(&recovered), expected, "{directory}");
     fs::remove_dir_all(copy).unwrap();
 }
 
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn stored_log_with_time_left_is_recovered() {
+fn stored_log_with_unexpired_deadlines_is_recovered() {
     assert_recovers("time-left");
 }
 
