--- a/crates/as2-gateway/src/as2_server.rs
+++ b/crates/as2-gateway/src/as2_server.rs
@@ -13,7 +13,7 @@
 use crate::worker_result::{OpenedSubmission, SignedRejection};
 use cloverstile_as2::{As2Error, Composed, Receipt};
 use cloverstile_engine::FinalOutcome;
-use cloverstile_http::{Headers, Message, Start};
+use cloverstile_http::{Headers, Message, StartLine};
 use cloverstile_net::{ConnId, Net};
 use connections::{HttpResponse, InboundConnections};
 use receipt_delivery::ReceiptDeliveries;
@@ -93,7 +93,7 @@
     }
 
     fn on_request(&mut self, context: &mut Context, request: RequestId, message: Message) {
-        let Start::Request { method, target } = &message.start else { return };
+        let StartLine::Request { method, target } = &message.start_line else { return };
         let path = target.split('?').next().unwrap_or_default();
         let resource = path.strip_prefix(context.config.listener.path.as_str());
         let started = match (method.as_str(), resource) {
--- a/crates/as2-gateway/src/as2_server/connections.rs
+++ b/crates/as2-gateway/src/as2_server/connections.rs
@@ -4,7 +4,9 @@
 use crate::identifiers::RequestId;
 use crate::response_mapping::HttpStatus;
 use cloverstile::Time;
-use cloverstile_http::{response, Decoder, Headers, HttpError, Item, Limits, Message, CONTINUE};
+use cloverstile_http::{
+    encode_response, DecodedItem, Decoder, Headers, HttpError, Limits, Message, CONTINUE,
+};
 use cloverstile_net::{ConnId, Net};
 use std::collections::HashMap;
 use tracing::debug;
@@ -29,7 +31,7 @@
     }
 
     fn to_bytes(&self) -> Vec<u8> {
-        response(self.status.code, self.status.reason, &self.headers, &self.body)
+        encode_response(self.status.code, self.status.reason, &self.headers, &self.body)
     }
 }
 
@@ -73,8 +75,8 @@
         let limits = Limits {
             max_head_bytes: settings.max_head_bytes,
             max_body_bytes: settings.max_body_bytes,
-            head_time: settings.head_time,
-            message_time: settings.message_time,
+            head_timeout: settings.head_time,
+            message_timeout: settings.message_time,
             ..Limits::default()
         };
         let connection = InboundConnection {
@@ -114,14 +116,14 @@
                 return None;
             }
             match connection.decoder.next(now) {
-                Ok(Some(Item::Message(message))) => {
+                Ok(Some(DecodedItem::Message(message))) => {
                     self.last_sequence += 1;
                     let request = RequestId { connection: id, sequence: self.last_sequence };
                     connection.keep_alive = message.keep_alive;
                     connection.current_request = Some(request);
                     return Some((request, message));
                 }
-                Ok(Some(Item::ExpectsContinue)) => context.net.send(id, CONTINUE),
+                Ok(Some(DecodedItem::ExpectsContinue)) => context.net.send(id, CONTINUE),
                 Ok(None) => {
                     context.net.set_read_paused(id, false);
                     self.set_deadline(context, id);
--- a/crates/as2-gateway/src/as2_server/receipt_delivery.rs
+++ b/crates/as2-gateway/src/as2_server/receipt_delivery.rs
@@ -2,7 +2,9 @@
 
 use crate::context::{Context, Timer};
 use crate::identifiers::DeliveryId;
-use cloverstile_http::{read_url, request, Decoder, Headers, Item, Limits, Message, Start};
+use cloverstile_http::{
+    encode_request, parse_http_url, DecodedItem, Decoder, Headers, Limits, Message, StartLine,
+};
 use cloverstile_net::ConnId;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -50,14 +52,14 @@
 
     /// Starts to deliver a receipt to a URL.
     pub fn start(&mut self, context: &mut Context, url: &str, mut headers: Headers, body: &[u8]) {
-        let Some((address, path)) = read_url(url) else {
+        let Some((address, path)) = parse_http_url(url) else {
             return warn!(url, "receipt not delivered: only http:// with a numeric address is supported");
         };
         if self.deliveries.len() >= MAX_DELIVERIES {
             return warn!(url, "receipt not delivered: too many deliveries in progress");
         }
         headers.add("Host", address.to_string()).add("Connection", "close");
-        let bytes = request("POST", &path, &headers, body);
+        let bytes = encode_request("POST", &path, &headers, body);
         self.last_delivery += 1;
         let id = DeliveryId(self.last_delivery);
         self.deliveries.insert(id, Delivery { address, bytes, attempts: 0 });
@@ -82,7 +84,10 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.decoder.feed(now, bytes);
         match connection.decoder.next(now) {
-            Ok(Some(Item::Message(Message { start: Start::Response { status: 200..=299 }, .. }))) => {
+            Ok(Some(DecodedItem::Message(Message {
+                start_line: StartLine::Response { status: 200..=299 },
+                ..
+            }))) => {
                 self.deliveries.remove(&connection.delivery);
                 self.connections.remove(&id);
                 context.net.close(id);
--- a/crates/as2-gateway/src/outbound_client.rs
+++ b/crates/as2-gateway/src/outbound_client.rs
@@ -12,7 +12,7 @@
 use cloverstile::{EndpointId, MessageId, RateLimitStatus, Time};
 use cloverstile_as2::{compose, read_receipt, Addressee, As2Error, Composed, Outgoing};
 use cloverstile_engine::{Attempt, TransportOutcome};
-use cloverstile_http::{request, Item, Message, Start};
+use cloverstile_http::{encode_request, DecodedItem, Message, StartLine};
 use cloverstile_net::ConnId;
 use cloverstile_settings::Receipt;
 use connection_pool::{ConnectionPool, ConnectionUse};
@@ -129,7 +129,7 @@
         );
         let mut headers = composed.headers.clone();
         headers.add("Host", endpoint.address.to_string()).add("User-Agent", "cloverstile");
-        let bytes = request("POST", &endpoint.path, &headers, &composed.body);
+        let bytes = encode_request("POST", &endpoint.path, &headers, &composed.body);
         context.net.send(connection, &bytes);
     }
 
@@ -195,7 +195,7 @@
         let id = *id;
         decoder.feed(now, bytes);
         match decoder.next(now) {
-            Ok(Some(Item::Message(message))) => self.on_response(context, id, message),
+            Ok(Some(DecodedItem::Message(message))) => self.on_response(context, id, message),
             Ok(_) => {}
             Err(error) => {
                 debug!(%error, "invalid response");
@@ -208,7 +208,7 @@
     fn on_response(&mut self, context: &mut Context, id: BatchId, message: Message) {
         let awaited = |batch: &&mut Batch| batch.stage == AttemptStage::AwaitingResponse;
         let Some(batch) = self.batches.get_mut(&id).filter(awaited) else { return };
-        let Start::Response { status } = message.start else { return };
+        let StartLine::Response { status } = message.start_line else { return };
         let attempt = batch.current;
         batch.rate_limit = rate_limit_status(&message.headers);
         batch.keep_alive = message.keep_alive;
--- a/crates/as2-gateway/src/outbound_client/connection_pool.rs
+++ b/crates/as2-gateway/src/outbound_client/connection_pool.rs
@@ -67,7 +67,8 @@
             }
             None => BatchConnection::Connecting(connect(context, endpoint)?),
         };
-        let limits = Limits { message_time: Duration::MAX, head_time: Duration::MAX, ..Limits::default() };
+        let limits =
+            Limits { message_timeout: Duration::MAX, head_timeout: Duration::MAX, ..Limits::default() };
         let decoder = Box::new(Decoder::client(limits));
         self.connections.insert(connection.id()?, ConnectionUse::Batch(batch, decoder));
         Some(connection)
--- a/crates/cli/src/send.rs
+++ b/crates/cli/src/send.rs
@@ -7,7 +7,9 @@
     Outgoing, Part, Receipt, ReceiptRequest, Security,
 };
 use cloverstile_as2_gateway::load_identity;
-use cloverstile_http::{read_url, request, Decoder, Headers, Item, Limits, Message, Start};
+use cloverstile_http::{
+    encode_request, parse_http_url, DecodedItem, Decoder, Headers, Limits, Message, StartLine,
+};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -150,7 +152,7 @@
             .map_err(|error| SendError::settings(error.to_string()))?;
         let gateway = self.gateway_certificate()?;
         let payload = Part { body: self.read_content()?, headers: self.payload_headers() };
-        let (address, path) = read_url(&self.url).ok_or_else(|| {
+        let (address, path) = parse_http_url(&self.url).ok_or_else(|| {
             SendError::settings(format!("--url {}: http:// with a numeric address is needed", self.url))
         })?;
         let security = Security {
@@ -206,14 +208,14 @@
             .map_err(|error| SendError::failure(&format!("connecting to {address}"), &error))?;
         let headers = composed.headers.clone().with("Host", address.to_string()).with("Connection", "close");
         stream
-            .write_all(&request("POST", path, &headers, &composed.body))
+            .write_all(&encode_request("POST", path, &headers, &composed.body))
             .map_err(|error| SendError::unknown(error.to_string()))?;
         self.read_response(&mut stream).map_err(SendError::unknown)
     }
 
     fn read_response(&self, stream: &mut TcpStream) -> Result<Message, String> {
         let started_at = Instant::now();
-        let mut decoder = Decoder::client(Limits { message_time: Duration::MAX, ..Limits::default() });
+        let mut decoder = Decoder::client(Limits { message_timeout: Duration::MAX, ..Limits::default() });
         let mut buffer = [0; READ_BUFFER_SIZE];
         loop {
             let remaining = Duration::from_secs(self.wait).checked_sub(started_at.elapsed());
@@ -228,7 +230,9 @@
             }
             let now = started_at.elapsed();
             decoder.feed(now, &buffer[..count]);
-            if let Some(Item::Message(message)) = decoder.next(now).map_err(|error| error.to_string())? {
+            if let Some(DecodedItem::Message(message)) =
+                decoder.next(now).map_err(|error| error.to_string())?
+            {
                 return Ok(message);
             }
         }
@@ -242,7 +246,7 @@
     composed: &Composed,
     gateway: &Certificate,
 ) -> Result<SendResult, SendError> {
-    let Start::Response { status: http_status } = response.start else {
+    let StartLine::Response { status: http_status } = response.start_line else {
         return Err(SendError::unknown("no HTTP answer".to_owned()));
     };
     match response.headers.get("cloverstile-answer").unwrap_or_default() {
--- a/crates/fakes/src/client/connections.rs
+++ b/crates/fakes/src/client/connections.rs
@@ -1,7 +1,7 @@
 //! A client's connections: those on which it submits messages, and those on which deferred receipts come in.
 
 use super::messages::MessageIndex;
-use cloverstile_http::{response, Decoder, Headers, Item, Limits, Message};
+use cloverstile_http::{encode_response, DecodedItem, Decoder, Headers, Limits, Message};
 use cloverstile_net::{ConnId, Net, NetEvent};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -147,7 +147,7 @@
         let connection = self.outgoing.get_mut(&id)?;
         connection.decoder.feed(now, bytes);
         match connection.decoder.next(now) {
-            Ok(Some(Item::Message(response))) => {
+            Ok(Some(DecodedItem::Message(response))) => {
                 let (gateway, message) = (connection.gateway, connection.message.take());
                 if response.keep_alive {
                     self.idle.entry(gateway).or_default().push(id);
@@ -171,11 +171,11 @@
         decoder.feed(now, bytes);
         loop {
             match decoder.next(now) {
-                Ok(Some(Item::Message(message))) => {
-                    self.net.send(id, &response(200, "OK", &Headers::new(), b""));
+                Ok(Some(DecodedItem::Message(message))) => {
+                    self.net.send(id, &encode_response(200, "OK", &Headers::new(), b""));
                     receipts.push(ConnectionEvent::Receipt(message));
                 }
-                Ok(Some(Item::ExpectsContinue)) => self.net.send(id, cloverstile_http::CONTINUE),
+                Ok(Some(DecodedItem::ExpectsContinue)) => self.net.send(id, cloverstile_http::CONTINUE),
                 Ok(None) => return receipts,
                 Err(_) => {
                     self.incoming.remove(&id);
--- a/crates/fakes/src/client/exchange.rs
+++ b/crates/fakes/src/client/exchange.rs
@@ -5,7 +5,7 @@
 use cloverstile_as2::{
     compose, read_receipt, Addressee, Certificate, Composed, Identity, Outcome, Outgoing, Part, Security,
 };
-use cloverstile_http::{request, Headers, Message, Start};
+use cloverstile_http::{encode_request, Headers, Message, StartLine};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -45,12 +45,12 @@
     } else if message.rejections > 0 {
         headers.add("Cloverstile-Handed-In", "again");
     }
-    request("POST", "/as2", &headers, &composed.body)
+    encode_request("POST", "/as2", &headers, &composed.body)
 }
 
 /// Whether a response says only that the message is accepted, its outcome being deferred.
 pub(super) fn is_acceptance(response: &Message) -> bool {
-    let is_success = matches!(response.start, Start::Response { status: 200..=299 });
+    let is_success = matches!(response.start_line, StartLine::Response { status: 200..=299 });
     is_success && response.headers.get("cloverstile-answer").is_none()
 }
 
@@ -62,8 +62,8 @@
 ) -> ReportedOutcome {
     let is_multipart = response.headers.get("content-type").is_some_and(|kind| kind.contains("multipart"));
     if response.body.is_empty() || !is_multipart {
-        return match response.start {
-            Start::Response { status: 503 } => ReportedOutcome::NotAccepted,
+        return match response.start_line {
+            StartLine::Response { status: 503 } => ReportedOutcome::NotAccepted,
             _ => ReportedOutcome::Unclear,
         };
     }
--- a/crates/fakes/src/partner/receipts.rs
+++ b/crates/fakes/src/partner/receipts.rs
@@ -5,7 +5,7 @@
 use cloverstile_as2::{
     compose_receipt, open, Certificate, Composed, Digest, Disposition, Envelope, Identity, ReceiptFacts,
 };
-use cloverstile_http::{read_url, Message};
+use cloverstile_http::{parse_http_url, Message};
 use std::net::SocketAddr;
 
 /// A composed receipt and whether its message could be opened.
@@ -69,5 +69,5 @@
 
 /// Address and path of a deferred receipt.
 pub(super) fn deferred_target(message: &Message) -> Option<(SocketAddr, String)> {
-    read_url(&deferred_url(message)?)
+    parse_http_url(&deferred_url(message)?)
 }
--- a/crates/fakes/src/partner/server.rs
+++ b/crates/fakes/src/partner/server.rs
@@ -6,7 +6,7 @@
 use crate::model::{Fault, Reply};
 use crate::record::{ObservedEvent, Recorder, RequestEnd};
 use cloverstile_as2::{Certificate, Composed, Envelope};
-use cloverstile_http::{request, response, Decoder, Headers, Item, Limits, Message};
+use cloverstile_http::{encode_request, encode_response, DecodedItem, Decoder, Headers, Limits, Message};
 use cloverstile_net::{ConnId, ListenerId, Net, NetEvent, Waker};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -265,8 +265,8 @@
         connection.decoder.feed(now, bytes);
         while let Some(connection) = self.connections.get_mut(&id) {
             match connection.decoder.next(now) {
-                Ok(Some(Item::Message(message))) => self.on_request(id, message),
-                Ok(Some(Item::ExpectsContinue)) => self.net.send(id, cloverstile_http::CONTINUE),
+                Ok(Some(DecodedItem::Message(message))) => self.on_request(id, message),
+                Ok(Some(DecodedItem::ExpectsContinue)) => self.net.send(id, cloverstile_http::CONTINUE),
                 Ok(None) => return,
                 Err(_) => return self.reset_connection(id),
             }
@@ -278,7 +278,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let EndpointRef { partner, endpoint } = connection.at;
         let Ok(envelope) = Envelope::read(&message.headers) else {
-            self.net.send(id, &response(400, "Bad Request", &Headers::new(), b"not AS2"));
+            self.net.send(id, &encode_response(400, "Bad Request", &Headers::new(), b"not AS2"));
             return;
         };
         self.last_number += 1;
@@ -336,18 +336,18 @@
                 if let Some(seconds) = seconds {
                     headers.add("Retry-After", seconds.to_string());
                 }
-                let bytes = response(503, "Service Unavailable", &headers, b"");
+                let bytes = encode_response(503, "Service Unavailable", &headers, b"");
                 (bytes, RequestEnd::Rejected(seconds.map(|seconds| seconds * 1000)))
             }
             Reply::Reset => return self.reset_connection(due.connection),
             Reply::Processed | Reply::Error if is_deferred => {
                 self.defer_receipt(due);
-                (response(202, "Accepted", &headers, b""), RequestEnd::Deferred)
+                (encode_response(202, "Accepted", &headers, b""), RequestEnd::Deferred)
             }
             Reply::Processed | Reply::Truncated | Reply::Error => {
                 let Some(receipt) = self.receipt(due) else { return self.reset_connection(due.connection) };
                 headers.extend(&receipt.headers);
-                let bytes = response(200, "OK", &headers, &receipt.body);
+                let bytes = encode_response(200, "OK", &headers, &receipt.body);
                 match due.reply {
                     Reply::Truncated => return self.send_truncated(due.connection, &bytes),
                     Reply::Error => (bytes, RequestEnd::Error),
@@ -396,7 +396,7 @@
         let Some((address, path)) = receipts::deferred_target(&due.message) else { return };
         let mut headers = receipt.headers;
         headers.add("Host", address.to_string()).add("Connection", "close");
-        let bytes = request("POST", &path, &headers, &receipt.body);
+        let bytes = encode_request("POST", &path, &headers, &receipt.body);
         let now = self.recorder.now();
         let (copies, delay_ms) = match self.partners[due.partner].response_fault {
             Some(ResponseFault::Duplicate) => (2, 0),
--- a/crates/fakes/src/platform/agent.rs
+++ b/crates/fakes/src/platform/agent.rs
@@ -4,7 +4,7 @@
 use super::events::PlatformEvent;
 use super::server::Next;
 use super::state::{AgentBehaviour, Shared};
-use cloverstile_http::{response, Headers, Message, Start};
+use cloverstile_http::{encode_response, Headers, Message, StartLine};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -17,7 +17,7 @@
     message: &Message,
     stream: &mut TcpStream,
 ) -> io::Result<Next> {
-    let Start::Request { target, .. } = &message.start else { return Ok(Next::Close) };
+    let StartLine::Request { target, .. } = &message.start_line else { return Ok(Next::Close) };
     if target.starts_with("/v1/notices") {
         return serve_notifications(shared, address, &message.body, stream);
     }
@@ -28,7 +28,7 @@
     let list = state.list_json(endpoints).to_string();
     let (draining, behaviour) = (state.draining(), state.agents[address]);
     drop(state);
-    let bytes = response(200, "OK", &Headers::new(), list.as_bytes());
+    let bytes = encode_response(200, "OK", &Headers::new(), list.as_bytes());
     match behaviour {
         AgentBehaviour::WithholdsLists => return stream.read(&mut [0]).map(|_| Next::Close),
         AgentBehaviour::TearsLists => {
@@ -62,7 +62,7 @@
         AgentBehaviour::Prompt | AgentBehaviour::WithholdsLists | AgentBehaviour::TearsLists => {}
     }
     let answered_at = shared.now();
-    stream.write_all(&response(204, "No Content", &Headers::new(), b""))?;
+    stream.write_all(&encode_response(204, "No Content", &Headers::new(), b""))?;
     for id in ids {
         shared.record_at(answered_at, PlatformEvent::NotificationAnswered { id });
     }
--- a/crates/fakes/src/platform/endpoint.rs
+++ b/crates/fakes/src/platform/endpoint.rs
@@ -3,7 +3,7 @@
 use super::events::PlatformEvent;
 use super::server::Next;
 use super::state::{EndpointBehaviour, Shared};
-use cloverstile_http::{response, Headers, Message};
+use cloverstile_http::{encode_response, Headers, Message};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -62,7 +62,7 @@
 }
 
 fn ok_response() -> Vec<u8> {
-    response(200, "OK", &Headers::new(), b"")
+    encode_response(200, "OK", &Headers::new(), b"")
 }
 
 fn deliver(shared: &Shared, id: String, stream: &mut TcpStream) -> io::Result<()> {
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -1,7 +1,7 @@
 //! HTTP servers of a fake platform, one thread for each connection.
 
 use super::state::Shared;
-use cloverstile_http::{Decoder, Item, Limits, Message};
+use cloverstile_http::{DecodedItem, Decoder, Limits, Message};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{self, Read};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -77,7 +77,7 @@
     let mut buffer = [0; READ_BUFFER];
     loop {
         while let Ok(Some(item)) = decoder.next(shared.now()) {
-            if let Item::Message(message) = item {
+            if let DecodedItem::Message(message) = item {
                 if serve(shared, message, stream)? == Next::Close {
                     return Ok(());
                 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,6 +1,6 @@
 //! Message bodies: their length, and chunked transfer coding.
 
-use crate::message::{HttpError, Limits, Start};
+use crate::message::{HttpError, Limits, StartLine};
 use crate::Headers;
 
 /// How the end of a body is determined.
@@ -15,10 +15,10 @@
 }
 
 /// Determines how a body ends (RFC 9112, section 6.3).
-pub(crate) fn body_kind(start: &Start, minor: u8, headers: &Headers) -> Result<BodyKind, HttpError> {
+pub(crate) fn body_kind(start_line: &StartLine, minor: u8, headers: &Headers) -> Result<BodyKind, HttpError> {
     let codings: Vec<&str> =
-        headers.all("transfer-encoding").flat_map(|v| v.split(',')).map(str::trim).collect();
-    let mut lengths = headers.all("content-length").flat_map(|v| v.split(',')).map(str::trim);
+        headers.get_all("transfer-encoding").flat_map(|v| v.split(',')).map(str::trim).collect();
+    let mut lengths = headers.get_all("content-length").flat_map(|v| v.split(',')).map(str::trim);
     let length = lengths.next();
     // Guards against request smuggling: two programs that trust different lengths split the bytes differently.
     if lengths.any(|other| Some(other) != length) {
@@ -36,16 +36,16 @@
             _ => Err(HttpError::InvalidLength("a Transfer-Encoding other than chunked")),
         };
     }
-    let bodiless = matches!(start, Start::Response { status: 100..=199 | 204 | 304 });
-    match (length, start) {
+    let bodiless = matches!(start_line, StartLine::Response { status: 100..=199 | 204 | 304 });
+    match (length, start_line) {
         _ if bodiless => Ok(BodyKind::Length(0)),
         (Some(digits), _) => {
             let is_decimal = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
             let value = digits.parse().ok().filter(|_| is_decimal);
             value.map(BodyKind::Length).ok_or(HttpError::InvalidLength("a Content-Length that is no number"))
         }
-        (None, Start::Request { .. }) => Ok(BodyKind::Length(0)),
-        (None, Start::Response { .. }) => Ok(BodyKind::ToEnd),
+        (None, StartLine::Request { .. }) => Ok(BodyKind::Length(0)),
+        (None, StartLine::Response { .. }) => Ok(BodyKind::ToEnd),
     }
 }
 
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,7 +1,7 @@
 //! Incremental decoding of messages.
 
 use crate::body::{body_kind, read_chunks, BodyKind};
-use crate::message::{HttpError, Item, Limits, Message, Start};
+use crate::message::{DecodedItem, HttpError, Limits, Message, StartLine};
 use crate::Headers;
 use std::time::Duration;
 
@@ -85,8 +85,8 @@
     /// When the message being read times out, if there is one.
     pub fn deadline(&self) -> Option<Duration> {
         let span = match self.stage {
-            Stage::Head => self.limits.head_time,
-            Stage::Body { .. } => self.limits.message_time,
+            Stage::Head => self.limits.head_timeout,
+            Stage::Body { .. } => self.limits.message_timeout,
         };
         self.message_since.map(|began| began.saturating_add(span))
     }
@@ -99,8 +99,8 @@
     pub fn check_deadline(&self, now: Duration) -> Result<(), HttpError> {
         match self.deadline() {
             Some(deadline) if now >= deadline => Err(match self.stage {
-                Stage::Head => HttpError::TimedOut("head", self.limits.head_time),
-                Stage::Body { .. } => HttpError::TimedOut("message", self.limits.message_time),
+                Stage::Head => HttpError::TimedOut("head", self.limits.head_timeout),
+                Stage::Body { .. } => HttpError::TimedOut("message", self.limits.message_timeout),
             }),
             _ => Ok(()),
         }
@@ -111,19 +111,19 @@
     /// # Errors
     ///
     /// If the bytes are not HTTP/1.x or go over a limit.
-    pub fn next(&mut self, now: Duration) -> Result<Option<Item>, HttpError> {
+    pub fn next(&mut self, now: Duration) -> Result<Option<DecodedItem>, HttpError> {
         loop {
             match &self.stage {
                 Stage::Head => match self.read_head()? {
                     HeadProgress::Incomplete => return Ok(None),
-                    HeadProgress::ExpectsContinue => return Ok(Some(Item::ExpectsContinue)),
+                    HeadProgress::ExpectsContinue => return Ok(Some(DecodedItem::ExpectsContinue)),
                     HeadProgress::Complete => {}
                 },
                 Stage::Body { .. } => {
                     let Some(message) = self.read_body()? else { return Ok(None) };
                     self.message_since = (!self.buffer.is_empty()).then_some(now);
                     self.head = None;
-                    return Ok(Some(Item::Message(message)));
+                    return Ok(Some(DecodedItem::Message(message)));
                 }
             }
         }
@@ -157,51 +157,51 @@
             return Ok(HeadProgress::Incomplete);
         }
         let window = &self.buffer[..self.buffer.len().min(self.limits.max_head_bytes)];
-        let mut fields = vec![httparse::EMPTY_HEADER; self.limits.max_fields];
+        let mut fields = vec![httparse::EMPTY_HEADER; self.limits.max_header_fields];
         let malformed = |error: httparse::Error| match error {
             httparse::Error::TooManyHeaders => {
-                HttpError::LimitExceeded("number of header fields", self.limits.max_fields)
+                HttpError::LimitExceeded("number of header fields", self.limits.max_header_fields)
             }
             other => HttpError::MalformedHead(other.to_string()),
         };
-        let (start, minor, length, headers) = if self.is_server {
+        let (start_line, minor, length, headers) = if self.is_server {
             let mut head = httparse::Request::new(&mut fields);
             let status = head.parse(window).map_err(malformed)?;
             let httparse::Status::Complete(length) = status else { return self.incomplete_head() };
-            let start = Start::Request {
+            let start_line = StartLine::Request {
                 method: head.method.unwrap_or_default().to_owned(),
                 target: head.path.unwrap_or_default().to_owned(),
             };
-            (start, head.version.unwrap_or(0), length, collect(head.headers))
+            (start_line, head.version.unwrap_or(0), length, collect(head.headers))
         } else {
             let mut head = httparse::Response::new(&mut fields);
             let status = head.parse(window).map_err(malformed)?;
             let httparse::Status::Complete(length) = status else { return self.incomplete_head() };
-            let start = Start::Response { status: head.code.unwrap_or(0) };
-            (start, head.version.unwrap_or(0), length, collect(head.headers))
+            let start_line = StartLine::Response { status: head.code.unwrap_or(0) };
+            (start_line, head.version.unwrap_or(0), length, collect(head.headers))
         };
         self.buffer.drain(..length);
-        if let Start::Response { status: status @ 200.. } = start {
+        if let StartLine::Response { status: status @ 200.. } = start_line {
             self.head = Some((status, headers.clone()));
         }
-        let kind = body_kind(&start, minor, &headers)?;
+        let kind = body_kind(&start_line, minor, &headers)?;
         if let BodyKind::Length(length) = kind {
             if length > self.limits.max_body_bytes {
                 return Err(HttpError::LimitExceeded("body", self.limits.max_body_bytes));
             }
         }
         // Interim responses carry nothing of use here (RFC 9110, section 15.2).
-        if matches!(start, Start::Response { status: 100..=199 }) {
+        if matches!(start_line, StartLine::Response { status: 100..=199 }) {
             return Ok(HeadProgress::Complete);
         }
         let keep_alive = kind != BodyKind::ToEnd
-            && !headers.lists("connection", "close")
-            && (minor == 1 || headers.lists("connection", "keep-alive"));
+            && !headers.has_token("connection", "close")
+            && (minor == 1 || headers.has_token("connection", "keep-alive"));
         let expects_continue = self.is_server
-            && headers.lists("expect", "100-continue")
+            && headers.has_token("expect", "100-continue")
             && self.buffer.is_empty()
             && kind != BodyKind::Length(0);
-        let message = Message { start, headers, body: Vec::new(), keep_alive };
+        let message = Message { start_line, headers, body: Vec::new(), keep_alive };
         self.stage = Stage::Body { message, kind };
         Ok(if expects_continue { HeadProgress::ExpectsContinue } else { HeadProgress::Complete })
     }
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -18,13 +18,19 @@
 }
 
 /// Encodes a request with `Content-Length`.
-pub fn request(method: &str, target: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
+pub fn encode_request(method: &str, target: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
     let length = format!("Content-Length: {}\r\n", body.len());
     encode(&format!("{method} {target} HTTP/1.1\r\n"), headers, &length, body)
 }
 
 /// Encodes a request in chunks of at most `chunk` bytes, as sent by clients that don't know the length ahead.
-pub fn chunked_request(method: &str, target: &str, headers: &Headers, body: &[u8], chunk: usize) -> Vec<u8> {
+pub fn encode_chunked_request(
+    method: &str,
+    target: &str,
+    headers: &Headers,
+    body: &[u8],
+    chunk: usize,
+) -> Vec<u8> {
     let mut coded = Vec::with_capacity(body.len() + 64);
     for part in body.chunks(chunk.max(1)) {
         coded.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
@@ -36,7 +42,7 @@
 }
 
 /// Encodes a response with `Content-Length`; 204 and 304 carry none (RFC 9110, section 8.6).
-pub fn response(status: u16, reason: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
+pub fn encode_response(status: u16, reason: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
     let length = match status {
         204 | 304 => String::new(),
         _ => format!("Content-Length: {}\r\n", body.len()),
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -37,7 +37,7 @@
     }
 
     /// All values of a field, in order.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
             .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
@@ -45,8 +45,10 @@
     }
 
     /// Whether a comma-separated field names this token (RFC 9110, section 5.6.1).
-    pub fn lists(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        self.get_all(name)
+            .flat_map(|value| value.split(','))
+            .any(|word| word.trim().eq_ignore_ascii_case(token))
     }
 
     /// Names and values, in order.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,13 +11,13 @@
 mod message;
 
 pub use decode::Decoder;
-pub use encode::{chunked_request, request, response, CONTINUE};
+pub use encode::{encode_chunked_request, encode_request, encode_response, CONTINUE};
 pub use headers::Headers;
-pub use message::{HttpError, Item, Limits, Message, Start};
+pub use message::{DecodedItem, HttpError, Limits, Message, StartLine};
 
 /// Address and path of a plain `http://` URL whose host is a numeric address, such as `http://127.0.0.1:80/as2`.
 /// Host names are not resolved: none for any other URL.
-pub fn read_url(url: &str) -> Option<(std::net::SocketAddr, String)> {
+pub fn parse_http_url(url: &str) -> Option<(std::net::SocketAddr, String)> {
     let rest = url.strip_prefix("http://")?;
     let (host, path) = match rest.find('/') {
         Some(at) => rest.split_at(at),
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -10,23 +10,23 @@
     /// Bytes of a start line with its header fields.
     pub max_head_bytes: usize,
     /// Number of header fields.
-    pub max_fields: usize,
+    pub max_header_fields: usize,
     /// Bytes of a body.
     pub max_body_bytes: usize,
     /// Time from a message's first byte to the end of its head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time from a message's first byte to its last.
-    pub message_time: Duration,
+    pub message_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
             max_head_bytes: 32 << 10,
-            max_fields: 100,
+            max_header_fields: 100,
             max_body_bytes: 16 << 20,
-            head_time: Duration::from_secs(10),
-            message_time: Duration::from_secs(60),
+            head_timeout: Duration::from_secs(10),
+            message_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -56,7 +56,7 @@
 
 /// A start line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// Of a request.
     Request {
         /// Such as `POST`.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its start line.
-    pub start: Start,
+    pub start_line: StartLine,
     /// Its header fields.
     pub headers: Headers,
     /// Its body, chunks joined.
@@ -86,7 +86,7 @@
 
 /// A result of decoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Item {
+pub enum DecodedItem {
     /// The client waits for [`crate::CONTINUE`] before it sends its body.
     ExpectsContinue,
     /// A message is complete.
--- a/crates/http/tests/framing.rs
+++ b/crates/http/tests/framing.rs
@@ -7,7 +7,7 @@
 
 const T: Duration = Duration::ZERO;
 
-fn read(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<Item>, HttpError> {
+fn read(decoder: &mut Decoder, bytes: &[u8]) -> Result<Vec<DecodedItem>, HttpError> {
     decoder.feed(T, bytes);
     let mut items = Vec::new();
     while let Some(item) = decoder.next(T)? {
@@ -20,7 +20,7 @@
     Decoder::server(Limits {
         max_body_bytes: 4096,
         max_head_bytes: 1024,
-        max_fields: 10,
+        max_header_fields: 10,
         ..Limits::default()
     })
 }
@@ -55,9 +55,9 @@
 fn expect_continue_is_reported_once() {
     let mut decoder = server();
     let head = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-    assert_eq!(read(&mut decoder, head).unwrap(), [Item::ExpectsContinue]);
+    assert_eq!(read(&mut decoder, head).unwrap(), [DecodedItem::ExpectsContinue]);
     let items = read(&mut decoder, b"ok").unwrap();
-    assert!(matches!(&items[..], [Item::Message(m)] if m.body == b"ok"));
+    assert!(matches!(&items[..], [DecodedItem::Message(m)] if m.body == b"ok"));
 }
 
 #[test]
@@ -91,8 +91,8 @@
         let mut wire = Vec::new();
         for (index, body) in bodies.iter().enumerate() {
             wire.extend(match index % 2 {
-                0 => request("POST", "/as2", &Headers::new().with("A", "b"), body),
-                _ => chunked_request("POST", "/as2", &Headers::new(), body, chunk),
+                0 => encode_request("POST", "/as2", &Headers::new().with("A", "b"), body),
+                _ => encode_chunked_request("POST", "/as2", &Headers::new(), body, chunk),
             });
         }
         let mut decoder = server();
@@ -101,7 +101,7 @@
             if at >= wire.len() { break }
             let end = (at + cut).min(wire.len());
             for item in read(&mut decoder, &wire[at..end]).unwrap() {
-                if let Item::Message(m) = item { seen.push(m.body) }
+                if let DecodedItem::Message(m) = item { seen.push(m.body) }
             }
             at = end;
         }
--- a/crates/platform/src/discovery_connection.rs
+++ b/crates/platform/src/discovery_connection.rs
@@ -4,7 +4,7 @@
 
 use crate::transport::{ConnectionId, Transport};
 use cloverstile::Time;
-use cloverstile_http::{Decoder, HttpError, Item, Limits, Message};
+use cloverstile_http::{DecodedItem, Decoder, HttpError, Limits, Message};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -154,8 +154,8 @@
         };
         decoder.feed(clock, bytes);
         let response = match decoder.next(clock) {
-            Ok(None | Some(Item::ExpectsContinue)) => return None,
-            Ok(Some(Item::Message(message))) => Ok(message),
+            Ok(None | Some(DecodedItem::ExpectsContinue)) => return None,
+            Ok(Some(DecodedItem::Message(message))) => Ok(message),
             Err(error) => Err(error),
         };
         let is_reusable = response.as_ref().is_ok_and(|response| response.keep_alive);
--- a/crates/platform/src/endpoint_watch.rs
+++ b/crates/platform/src/endpoint_watch.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list_response::EndpointListResponse;
 use crate::transport::{ConnectionId, Transport};
 use cloverstile::Time;
-use cloverstile_http::{Headers, HttpError, Message, Start};
+use cloverstile_http::{Headers, HttpError, Message, StartLine};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     Http(#[from] HttpError),
     /// Its status is not 200.
     #[error("unexpected status: {0:?}")]
-    UnexpectedStatus(Start),
+    UnexpectedStatus(StartLine),
     /// Its body is not an endpoint list; the error says where and why.
     #[error("{0}")]
     Json(String),
@@ -92,7 +92,7 @@
         self.requested_at = now;
         let target = format!("/registry/instances?after={}&wait_ms={}", self.version, LONG_POLL.as_millis());
         let headers = Headers::new().with("Host", self.agent.address().to_string());
-        let request = cloverstile_http::request("GET", &target, &headers, b"");
+        let request = cloverstile_http::encode_request("GET", &target, &headers, b"");
         self.agent.send(&request, now + LONG_POLL + GRACE_PERIOD, transport);
     }
 
@@ -147,8 +147,8 @@
 }
 
 fn parse_list(message: &Message) -> Result<EndpointListResponse, EndpointListError> {
-    match message.start {
-        Start::Response { status: 200 } => {
+    match message.start_line {
+        StartLine::Response { status: 200 } => {
             serde_json::from_slice(&message.body).map_err(|error| EndpointListError::Json(error.to_string()))
         }
         ref other => Err(EndpointListError::UnexpectedStatus(other.clone())),
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -5,7 +5,7 @@
 use crate::limits::MAX_BODY_BYTES;
 use crate::transport::{ConnectionId, Transport};
 use cloverstile::{OrderKey, Time};
-use cloverstile_http::{Headers, Start};
+use cloverstile_http::{Headers, StartLine};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -254,7 +254,7 @@
         let agent = &mut self.agent_connections[index];
         let host = agent.connection.address().to_string();
         let headers = Headers::new().with("Host", host).with("Content-Type", "application/x-ndjson");
-        let request = cloverstile_http::request("POST", "/v1/notices", &headers, &body);
+        let request = cloverstile_http::encode_request("POST", "/v1/notices", &headers, &body);
         agent.in_flight = message_numbers;
         agent.droppable_at = now + RESEND_DELAY;
         agent.connection.send(&request, now + RESPONSE_TIMEOUT, transport);
@@ -325,13 +325,13 @@
         if agent.connection.has_surplus_bytes() {
             agent.connection.close(now, transport);
         }
-        match response.map(|response| response.start) {
-            Ok(Start::Response { status: 200..=299 }) => {
+        match response.map(|response| response.start_line) {
+            Ok(StartLine::Response { status: 200..=299 }) => {
                 self.batch_limit = MAX_BATCH_SIZE;
                 settled.acknowledged = self.settle_in_flight(index);
             }
             // The platform rejects this notification even on its own. Sending it again forever would block all others.
-            Ok(Start::Response { status: 400..=499 }) if agent.in_flight.len() == 1 => {
+            Ok(StartLine::Response { status: 400..=499 }) if agent.in_flight.len() == 1 => {
                 settled.rejected = self.settle_in_flight(index);
             }
             _ => {
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -18,7 +18,7 @@
 use crate::limits::MAX_BODY_BYTES;
 use cloverstile::RateLimitStatus;
 use cloverstile_engine::TransportOutcome;
-use cloverstile_http::{Decoder, Headers, Item, Limits, Message, Start};
+use cloverstile_http::{DecodedItem, Decoder, Headers, Limits, Message, StartLine};
 use std::time::Duration;
 
 /// Maximum `Retry-After`; longer values are reduced to it.
@@ -112,7 +112,7 @@
         let rejection = self.decoder.head().filter(|(status, _)| is_rejection(*status));
         let retry_after_from_head = rejection.and_then(|(_, headers)| retry_after(headers));
         let (result, reuse) = match next {
-            Ok(Some(Item::Message(message))) => {
+            Ok(Some(DecodedItem::Message(message))) => {
                 // Surplus bytes after a response would be taken for the response to the next request.
                 let is_reusable = message.keep_alive && self.decoder.buffered_bytes() == 0;
                 let reuse = if is_reusable { ConnectionReuse::Reusable } else { ConnectionReuse::Unusable };
@@ -147,7 +147,7 @@
 
 /// The result of an attempt whose response is complete.
 fn attempt_result(message: &Message, fields: &LoadReportFields) -> AttemptResult {
-    let Start::Response { status } = message.start else { return TransportOutcome::Error.into() };
+    let StartLine::Response { status } = message.start_line else { return TransportOutcome::Error.into() };
     let headers = &message.headers;
     let outcome = match status {
         200 => TransportOutcome::Processed,
--- a/crates/resp-gateway/src/message_record.rs
+++ b/crates/resp-gateway/src/message_record.rs
@@ -98,7 +98,7 @@
         headers.add("Idempotency-Key", utf8_lossy(key));
     }
     headers.add("Req-Deadline", format!("{}m", time_left.as_millis().max(1)));
-    cloverstile_http::request("POST", "/hook", &headers, &message.body)
+    cloverstile_http::encode_request("POST", "/hook", &headers, &message.body)
 }
 
 #[cfg(test)]
--- a/crates/testbench/src/fleet/endpoints.rs
+++ b/crates/testbench/src/fleet/endpoints.rs
@@ -2,7 +2,7 @@
 
 use cloverstile_fakes::limit::AdvertisedLimit;
 use cloverstile_fakes::model::Reply;
-use cloverstile_http::{response, Decoder, Headers, Item, Limits, Message};
+use cloverstile_http::{DecodedItem, Decoder, Headers, Limits, Message};
 use cloverstile_net::{ConnId, ListenerId};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         let mut messages = Vec::new();
         let malformed = loop {
             match decoder.next(now) {
-                Ok(Some(Item::Message(message))) => messages.push(message),
+                Ok(Some(DecodedItem::Message(message))) => messages.push(message),
                 Ok(Some(_)) => {}
                 Ok(None) => break false,
                 Err(_) => break true,
@@ -111,14 +111,14 @@
         headers.add("Srv-Load", format!("x0={:.4},x1={:.3}", limit.remaining, limit.limit));
     }
     match reply {
-        Reply::Processed => response(200, "OK", &headers, b""),
+        Reply::Processed => cloverstile_http::encode_response(200, "OK", &headers, b""),
         Reply::Rejected(Some(wait)) => {
             headers.add("Retry-After", format!("{:.4}", wait.as_secs_f64()));
-            response(429, "Too Many Requests", &headers, b"")
+            cloverstile_http::encode_response(429, "Too Many Requests", &headers, b"")
         }
-        Reply::Rejected(None) => response(503, "Service Unavailable", &headers, b""),
+        Reply::Rejected(None) => cloverstile_http::encode_response(503, "Service Unavailable", &headers, b""),
         Reply::Error | Reply::Truncated | Reply::Reset => {
-            response(500, "Internal Server Error", &headers, b"")
+            cloverstile_http::encode_response(500, "Internal Server Error", &headers, b"")
         }
     }
 }
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -8,7 +8,7 @@
 use super::harness_state::HarnessState;
 use super::supervisor::ProcessSupervisor;
 use super::timers::Timer;
-use cloverstile_http::{response, Headers, Message, Start};
+use cloverstile_http::{encode_response, Headers, Message, StartLine};
 use cloverstile_net::{ConnId, NetEvent};
 use cloverstile_simulator::{LoadBalanceRun, LoadBalanceScenario};
 use std::path::Path;
@@ -170,10 +170,10 @@
     }
 
     fn on_discovery_request(&mut self, now: Duration, connection: ConnId, message: &Message) {
-        let Start::Request { target, .. } = &message.start else { return };
+        let StartLine::Request { target, .. } = &message.start_line else { return };
         if target.starts_with(NOTICES_PATH) {
             self.on_final_outcomes(now, &message.body);
-            let reply = response(204, "No Content", &Headers::new(), b"");
+            let reply = encode_response(204, "No Content", &Headers::new(), b"");
             return self.state.net.send(connection, &reply);
         }
         let watch = self.state.watches.open(connection);
@@ -199,7 +199,7 @@
     fn answer_watch(&mut self, connection: ConnId, watch: u64) {
         if self.state.watches.complete(connection, watch) {
             let list = self.state.endpoint_list.to_json(&mut self.state.sites).to_string();
-            let reply = response(200, "OK", &Headers::new(), list.as_bytes());
+            let reply = encode_response(200, "OK", &Headers::new(), list.as_bytes());
             self.state.net.send(connection, &reply);
         }
     }
--- a/fuzz/fuzz_targets/http.rs
+++ b/fuzz/fuzz_targets/http.rs
@@ -1,11 +1,11 @@
 //! Anything that claims to be HTTP/1.1, in two pieces: both cuts must say the same.
 #![no_main]
 
-use cloverstile_http::{Decoder, HttpError, Item, Limits};
+use cloverstile_http::{DecodedItem, Decoder, HttpError, Limits};
 use libfuzzer_sys::fuzz_target;
 use std::time::Duration;
 
-fn read(pieces: &[&[u8]], server: bool) -> (Vec<Item>, Option<HttpError>) {
+fn read(pieces: &[&[u8]], server: bool) -> (Vec<DecodedItem>, Option<HttpError>) {
     let limits = Limits { max_body_bytes: 1 << 16, ..Limits::default() };
     let mut decoder = if server { Decoder::server(limits) } else { Decoder::client(limits) };
     let mut items = Vec::new();
@@ -14,7 +14,7 @@
         loop {
             match decoder.next(Duration::ZERO) {
                 // Whether a client still waits for leave depends on what came already.
-                Ok(Some(Item::ExpectsContinue)) => {}
+                Ok(Some(DecodedItem::ExpectsContinue)) => {}
                 Ok(Some(item)) => items.push(item),
                 Ok(None) => break,
                 Err(error) => return (items, Some(error)),
