--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine around the real delivery policy: one outcome each, one attempt at a time, nothing after the outcome.
+//! Tests of the engine with the real delivery policy: each message gets exactly one final outcome, has at most one
+//! attempt in flight, and is not sent after its outcome.
 
 use cloverstile::{
     Class, ClassId, DestinationId, Effect, Endpoint, EndpointId, EndpointState, Kind, KindId, MessageId,
@@ -78,23 +79,24 @@
         self.engine.advance(self.now)
     }
 
-    /// Advances from time-out to time-out until a command is wanted.
-    fn until<T>(&mut self, limit: Duration, wanted: impl Fn(&Command) -> Option<T>) -> Option<T> {
+    /// Advances from time-out to time-out until `find` accepts a command. Returns `None` if that takes longer than
+    /// `limit` or no time-out is left.
+    fn advance_until<T>(&mut self, limit: Duration, find: impl Fn(&Command) -> Option<T>) -> Option<T> {
         let end = self.now + limit;
         loop {
-            if let Some(found) = self.advance().iter().find_map(&wanted) {
+            if let Some(found) = self.advance().iter().find_map(&find) {
                 return Some(found);
             }
             self.now = self.engine.next_timeout().filter(|at| *at <= end)?.max(self.now + ms(1));
         }
     }
 
-    fn next_sent(&mut self) -> Attempt {
+    fn next_attempt(&mut self) -> Attempt {
         let sent = |command: &Command| match command {
             Command::Send { attempts, .. } => Some(attempts[0]),
             _ => None,
         };
-        self.until(Duration::from_secs(20), sent).expect("a send")
+        self.advance_until(Duration::from_secs(20), sent).expect("a send")
     }
 
     fn next_outcome(&mut self) -> FinalOutcome {
@@ -102,16 +104,16 @@
             Command::Complete { outcome, .. } => Some(*outcome),
             _ => None,
         };
-        self.until(Duration::from_secs(30), completed).expect("an outcome")
+        self.advance_until(Duration::from_secs(30), completed).expect("an outcome")
     }
 }
 
 #[test]
-fn resubmission_gets_the_one_outcome_and_other_content_a_conflict() {
+fn resubmission_returns_the_outcome_and_other_content_or_client_conflicts() {
     let mut harness = Harness::new(100);
     let Admission::New(id) = harness.submit("a", UNSAFE) else { panic!() };
     assert_eq!(harness.submit("a", UNSAFE), Admission::InFlight(id));
-    let attempt = harness.next_sent();
+    let attempt = harness.next_attempt();
     harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Processed, None);
     assert_eq!(harness.next_outcome(), FinalOutcome::Delivered);
     assert_eq!(harness.submit("a", UNSAFE), Admission::Completed(id, FinalOutcome::Delivered));
@@ -125,7 +127,7 @@
 fn unsafe_message_without_receipt_fails_and_a_late_receipt_is_reported() {
     let mut harness = Harness::new(100);
     let Admission::New(id) = harness.submit("a", UNSAFE) else { panic!() };
-    let attempt = harness.next_sent();
+    let attempt = harness.next_attempt();
     harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Reset, None);
     assert_eq!(harness.next_outcome(), FinalOutcome::Failed);
     harness.engine.on_receipt(harness.now, id, TransportOutcome::Processed);
@@ -134,20 +136,21 @@
 }
 
 #[test]
-fn late_receipt_completes_a_keyed_message_that_would_be_retried() {
+fn late_receipt_completes_a_keyed_message_that_awaits_its_retry() {
     let mut harness = Harness::new(100);
     let Admission::New(id) = harness.submit("a", KEYED) else { panic!() };
-    harness.next_sent();
+    harness.next_attempt();
     let abandoned = |command: &Command| matches!(command, Command::Abandon { .. }).then_some(());
-    harness.until(Duration::from_secs(12), abandoned).expect("a time-out");
+    harness.advance_until(Duration::from_secs(12), abandoned).expect("a time-out");
     harness.engine.on_receipt(harness.now, id, TransportOutcome::Processed);
     harness.engine.on_receipt(harness.now, id, TransportOutcome::Processed);
     let commands = harness.advance();
     let delivered =
         commands.iter().filter(|e| matches!(e, Command::Complete { outcome: FinalOutcome::Delivered, .. }));
     assert_eq!(delivered.count(), 1, "{commands:?}");
-    let more = harness.until(Duration::from_secs(30), |e| matches!(e, Command::Send { .. }).then_some(()));
-    assert_eq!((more, harness.engine.pending_messages()), (None, 0));
+    let retry =
+        harness.advance_until(Duration::from_secs(30), |e| matches!(e, Command::Send { .. }).then_some(()));
+    assert_eq!((retry, harness.engine.pending_messages()), (None, 0));
 }
 
 #[test]
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn messages_of_one_turn_share_a_request_up_to_the_kinds_max_batch() {
+fn messages_of_one_turn_share_a_request_up_to_max_batch() {
     let mut harness = Harness::new(100);
     for name in ["a", "b", "c", "d", "e"] {
         harness.submit(name, SAFE);
@@ -175,15 +178,15 @@
             _ => None,
         })
         .collect();
-    // One request is saved up at the start; it carries what the kind allows, the rest waits for the rate limit.
+    // The rate limit starts with capacity for one request, which carries `max_batch` messages; the others wait.
     assert_eq!((sizes, harness.engine.requests_in_flight()), (vec![3], 1));
 }
 
 #[test]
-fn shutdown_admits_nothing_and_completes_the_rest_at_its_deadline() {
+fn shutdown_refuses_submissions_and_completes_pending_messages_at_its_deadline() {
     let mut harness = Harness::new(100);
     harness.submit("in flight", UNSAFE);
-    harness.next_sent();
+    harness.next_attempt();
     harness.engine.update_endpoints(harness.now, vec![]);
     harness.submit("waits", UNSAFE);
     harness.advance();
@@ -215,37 +218,41 @@
     assert!(matches!(harness.submit("m9", SAFE), Admission::New(_)));
 }
 
-/// What was seen of one message.
+/// State of one message as derived from submissions and commands.
 #[derive(Default)]
-struct Seen {
+struct MessageState {
     class: u8,
     in_flight: Option<Attempt>,
+    /// End of the first attempt that may have taken effect.
     may_have_run_at: Option<Time>,
     completed: bool,
     deadline: Time,
 }
 
-/// Kind of a random step that only lets the engine advance.
+/// Kind of a random step that reports no event and only advances the engine.
 const ADVANCE_ONLY: u8 = 11;
 
-/// Checks all commands of an engine against its invariants.
+/// Checks each command of an engine against the invariants of its message.
 struct InvariantChecker {
     harness: Harness,
-    seen: BTreeMap<MessageId, Seen>,
+    messages: BTreeMap<MessageId, MessageState>,
 }
 
 impl InvariantChecker {
-    /// One random step; its kind is from 0 to 11, and `pick` chooses the details.
+    /// Runs one random step of kind 0 to 11; `pick` determines its details, such as the message or the endpoint state.
     fn step(&mut self, kind: u8, pick: u16) {
-        let all: Vec<Attempt> = self.seen.values().filter_map(|s| s.in_flight).collect();
-        let in_flight = (!all.is_empty()).then(|| all[usize::from(pick) % all.len()]);
+        let attempts: Vec<Attempt> = self.messages.values().filter_map(|s| s.in_flight).collect();
+        let in_flight = (!attempts.is_empty()).then(|| attempts[usize::from(pick) % attempts.len()]);
         match kind {
             0..=3 => self.submit(pick),
-            4 | 5 => self.report(in_flight, TransportOutcome::Processed),
-            6 => self.report(in_flight, TransportOutcome::Error),
-            7 => self.report(in_flight, TransportOutcome::Rejected(pick.is_multiple_of(2).then(|| ms(400)))),
-            8 => self.report(in_flight, TransportOutcome::ConnectFailed),
-            9 => self.report(in_flight, TransportOutcome::Reset),
+            4 | 5 => self.complete_attempt(in_flight, TransportOutcome::Processed),
+            6 => self.complete_attempt(in_flight, TransportOutcome::Error),
+            7 => self.complete_attempt(
+                in_flight,
+                TransportOutcome::Rejected(pick.is_multiple_of(2).then(|| ms(400))),
+            ),
+            8 => self.complete_attempt(in_flight, TransportOutcome::ConnectFailed),
+            9 => self.complete_attempt(in_flight, TransportOutcome::Reset),
             10 => self.update_endpoints(pick),
             _ => {}
         }
@@ -261,15 +268,15 @@
         let now = self.harness.now;
         if let Admission::New(id) = self.harness.engine.submit(now, message) {
             let deadline = now + Duration::from_secs(12);
-            self.seen.insert(id, Seen { class, deadline, ..Seen::default() });
+            self.messages.insert(id, MessageState { class, deadline, ..MessageState::default() });
         }
     }
 
-    fn report(&mut self, in_flight: Option<Attempt>, outcome: TransportOutcome) {
+    fn complete_attempt(&mut self, in_flight: Option<Attempt>, outcome: TransportOutcome) {
         let Some(attempt) = in_flight else { return };
         let now = self.harness.now;
         self.harness.engine.on_attempt_completed(now, attempt, outcome, None);
-        if let Some(s) = self.seen.get_mut(&attempt.message) {
+        if let Some(s) = self.messages.get_mut(&attempt.message) {
             s.in_flight = None;
             if !matches!(outcome, TransportOutcome::Rejected(_) | TransportOutcome::ConnectFailed) {
                 s.may_have_run_at.get_or_insert(now);
@@ -290,7 +297,7 @@
                 attempts.into_iter().for_each(|attempt| self.check_sent(attempt));
             }
             Command::Abandon { attempt, .. } => {
-                let s = self.seen.get_mut(&attempt.message).unwrap();
+                let s = self.messages.get_mut(&attempt.message).unwrap();
                 s.in_flight = None;
                 s.may_have_run_at.get_or_insert(now);
             }
@@ -301,58 +308,65 @@
 
     fn check_sent(&mut self, attempt: Attempt) {
         let now = self.harness.now;
-        let s = self.seen.get_mut(&attempt.message).unwrap();
-        assert!(!s.completed, "sent after its outcome");
-        assert!(s.in_flight.is_none(), "two attempts side by side");
-        assert!(s.class != UNSAFE || s.may_have_run_at.is_none(), "an unsafe message again");
+        let s = self.messages.get_mut(&attempt.message).unwrap();
+        assert!(!s.completed, "message sent after its outcome");
+        assert!(s.in_flight.is_none(), "second attempt in flight");
+        assert!(
+            s.class != UNSAFE || s.may_have_run_at.is_none(),
+            "unsafe message sent again after it may have run"
+        );
         if let (KEYED, Some(ran)) = (s.class, s.may_have_run_at) {
-            assert!(now < ran + Duration::from_secs(10), "outside its retry window");
+            assert!(now < ran + Duration::from_secs(10), "sent outside the retry window");
         }
         s.in_flight = Some(attempt);
     }
 
     fn check_completed(&mut self, message: MessageId, outcome: FinalOutcome) {
         let now = self.harness.now;
-        let s = self.seen.get_mut(&message).unwrap();
-        assert!(!std::mem::replace(&mut s.completed, true), "two outcomes");
-        assert!(now <= s.deadline + settings().rules.outcome_grace, "late");
+        let s = self.messages.get_mut(&message).unwrap();
+        assert!(!std::mem::replace(&mut s.completed, true), "second outcome");
+        assert!(
+            now <= s.deadline + settings().rules.outcome_grace,
+            "outcome after the deadline and its grace time"
+        );
         if let FinalOutcome::Rejected(_) = outcome {
             let cannot_have_run = s.may_have_run_at.is_none() && s.in_flight.is_none();
-            assert!(s.class == SAFE || cannot_have_run, "rejected though it may run");
+            assert!(s.class == SAFE || cannot_have_run, "rejected although it may have run or may still run");
         }
     }
 
-    /// Advances the engine at its next time-out.
+    /// Moves the clock to `at`, but not backwards, and advances the engine.
     fn advance_at(&mut self, at: Time) {
         self.harness.now = at.max(self.harness.now);
         self.step(ADVANCE_ONLY, 0);
     }
 }
 
-/// A shutdown ends while an unsafe message is being prepared for its attempt: nothing of it has left, so it may be submitted
-/// again. Guards against the flaw behind `graceful_shutdown_at_full_load_answers_all_held_messages` on a busy machine, where
-/// composing a message or establishing its connection takes until the end.
+/// An unsafe message whose attempt is still being prepared when a shutdown ends must be rejected rather than failed:
+/// no byte was sent, so it may be submitted again. On a busy machine, composing a message or connecting can last
+/// until the end of the shutdown, which made `graceful_shutdown_at_full_load_answers_all_held_messages` fail.
 #[test]
 fn shutdown_rejects_an_unsafe_message_whose_attempt_was_never_sent() {
     for (started, expected) in [(false, FinalOutcome::Rejected(Duration::ZERO)), (true, FinalOutcome::Failed)]
     {
         let mut harness = Harness::new(10);
         harness.submit("only", UNSAFE);
-        let attempt = harness.next_sent();
+        let attempt = harness.next_attempt();
         harness.engine.set_attempt_started(attempt, started);
         harness.engine.shut_down_by(harness.now + ms(500));
         assert_eq!(harness.next_outcome(), expected, "sent: {started}");
-        assert!(!harness.engine.may_send_now(harness.now, attempt), "nothing is sent after the outcome");
+        assert!(!harness.engine.may_send_now(harness.now, attempt), "attempt may be sent after the outcome");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..Default::default() })]
 
-    /// Whatever partners, clients and the endpoint list do, for many sequences of events.
+    /// Random submissions, attempt results, endpoint list updates and waits keep the invariants, and every message
+    /// gets an outcome without a forced completion.
     #[test]
     fn invariants_hold_for_random_event_sequences(steps in proptest::collection::vec((0u8..12, any::<u16>(), 1u64..900), 20..200)) {
-        let mut checker = InvariantChecker { harness: Harness::new(1000), seen: BTreeMap::new() };
+        let mut checker = InvariantChecker { harness: Harness::new(1000), messages: BTreeMap::new() };
         for (kind, pick, wait) in steps {
             checker.step(kind, pick);
             let until = checker.harness.now + ms(wait);
@@ -365,7 +379,7 @@
             let Some(at) = checker.harness.engine.next_timeout() else { break };
             checker.advance_at(at);
         }
-        prop_assert!(checker.seen.values().all(|s| s.completed));
+        prop_assert!(checker.messages.values().all(|s| s.completed));
         prop_assert_eq!(checker.harness.engine.counters().forced_completions, 0);
     }
 }
@@ -377,7 +391,7 @@
         RecoveredAttempts { submitted_at: harness.now, attempts: 2, ..RecoveredAttempts::default() };
     let message = harness.message("a", KEYED);
     let id = harness.engine.recover(harness.now, message, recovered);
-    assert_eq!(harness.next_sent(), Attempt { message: id, number: 2 });
+    assert_eq!(harness.next_attempt(), Attempt { message: id, number: 2 });
     let message = SubmitRequest { deadline: harness.now - ms(1), ..harness.message("b", KEYED) };
     harness.engine.recover(harness.now, message, recovered);
     assert!(matches!(harness.next_outcome(), FinalOutcome::Rejected(_)));
@@ -388,46 +402,47 @@
 fn obsolete_message_is_cancelled() {
     let mut harness = Harness::new(10);
     harness.submit("a", UNSAFE);
-    let attempt = harness.next_sent();
+    let attempt = harness.next_attempt();
     harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Obsolete, None);
     assert_eq!(harness.next_outcome(), FinalOutcome::Cancelled);
     assert_eq!(harness.engine.pending_messages(), 0);
 }
 
 #[test]
-fn paused_engine_sends_nothing_and_attempts_in_flight_end() {
+fn paused_engine_sends_nothing_but_completes_attempts_in_flight() {
     let mut harness = Harness::new(10);
     harness.submit("a", UNSAFE);
-    let attempt = harness.next_sent();
+    let attempt = harness.next_attempt();
     harness.engine.set_sending_paused(true);
     harness.submit("b", UNSAFE);
     assert!(harness.advance().is_empty());
     harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Processed, None);
     assert!(matches!(harness.advance()[..], [Command::Complete { outcome: FinalOutcome::Delivered, .. }]));
     harness.engine.set_sending_paused(false);
-    harness.next_sent();
+    harness.next_attempt();
 }
 
-/// Between decision and bytes: an attempt that is not started costs none, and numbers never come twice.
+/// An attempt that the engine commanded but the transport did not start does not count towards `max_attempts`, and its
+/// number is not used again. `may_send_now` revokes an attempt after `Retry-After`, its end, a pause or draining.
 #[test]
-fn attempt_that_was_not_started_is_not_counted() {
+fn attempt_that_was_not_started_does_not_count_towards_max_attempts() {
     let mut harness = Harness::new(10);
     harness.submit("a", KEYED);
-    let cap = settings().max_attempts;
+    let max_attempts = settings().max_attempts;
     let mut numbers = Vec::new();
-    for _ in 0..cap + 2 {
-        let attempt = harness.next_sent();
+    for _ in 0..max_attempts + 2 {
+        let attempt = harness.next_attempt();
         numbers.push(attempt.number);
         assert!(harness.engine.may_send_now(harness.now, attempt));
         harness.engine.on_retry_after(harness.now, EndpointId(1), ms(40));
         assert!(!harness.engine.may_send_now(harness.now, attempt));
         harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::NotStarted, None);
-        assert!(!harness.engine.may_send_now(harness.now, attempt), "it is not in flight any more");
+        assert!(!harness.engine.may_send_now(harness.now, attempt), "an attempt that has ended may be sent");
     }
-    assert!(numbers.windows(2).all(|two| two[0] < two[1]), "{numbers:?}");
-    let attempt = harness.next_sent();
+    assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]), "{numbers:?}");
+    let attempt = harness.next_attempt();
     harness.engine.set_sending_paused(true);
-    assert!(!harness.engine.may_send_now(harness.now, attempt), "sending is paused");
+    assert!(!harness.engine.may_send_now(harness.now, attempt), "may be sent while sending is paused");
     harness.engine.set_sending_paused(false);
     harness.engine.update_endpoints(
         harness.now,
@@ -439,9 +454,9 @@
         vec![endpoint(1, EndpointState::Ready), endpoint(2, EndpointState::Ready)],
     );
     harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Rejected(None), None);
-    // All other attempts are still there.
-    for _ in 1..cap {
-        let attempt = harness.next_sent();
+    // Only the one rejected attempt counts: the remaining `max_attempts - 1` are still available.
+    for _ in 1..max_attempts {
+        let attempt = harness.next_attempt();
         harness.engine.on_attempt_completed(harness.now, attempt, TransportOutcome::Rejected(None), None);
     }
     assert!(matches!(harness.next_outcome(), FinalOutcome::Rejected(_)));
--- a/crates/engine/tests/tier_migration.rs
+++ b/crates/engine/tests/tier_migration.rs
@@ -1,4 +1,5 @@
-//! Messages leave a tier that is down only where nothing can take effect twice or out of order.
+//! Tests of tier migration: messages leave a tier that is down only if that cannot repeat their effect or break the
+//! order of their order key.
 
 use cloverstile::{
     Class, ClassId, DestinationId, Effect, Endpoint, EndpointId, EndpointState, Group, KindId, OrderKey,
@@ -13,41 +14,42 @@
 const UNSAFE: u8 = 0;
 const ORDERED: u8 = 1;
 const IN_ZONE: u8 = 2;
-const NORTH: EndpointId = EndpointId(1);
-const SOUTH: EndpointId = EndpointId(2);
+const FIRST_TIER: EndpointId = EndpointId(1);
+const SECOND_TIER: EndpointId = EndpointId(2);
 const LATENCY: Duration = Duration::from_millis(5);
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// An attempt that has not ended.
+/// Attempt in flight and the time at which the partner completes it.
 struct InFlight {
     ends_at: Time,
     endpoint: EndpointId,
     attempt: Attempt,
 }
 
-/// The final outcome of a message.
+/// Final outcome of a message, identified by its idempotency key.
 #[derive(Debug)]
 struct NamedOutcome {
     name: String,
     outcome: FinalOutcome,
 }
 
-/// A single instance in front of two tiers of one partner, all of whose messages may spill; the first tier is down.
+/// A single gateway instance and a partner with two tiers, of which the first is down. All messages may spill to the
+/// second.
 struct TwoTiers {
     engine: Engine,
     now: Time,
-    /// How attempts at the first tier end.
-    north_outcome: TransportOutcome,
-    /// Messages that reached the second tier, by name.
-    south_received: Vec<String>,
+    /// Result of every attempt sent to the first tier.
+    first_tier_result: TransportOutcome,
+    /// Idempotency keys of the messages that reached the second tier, in order of their attempts' ends.
+    second_tier_received: Vec<String>,
     outcomes: Vec<NamedOutcome>,
 }
 
 impl TwoTiers {
-    fn new(north_outcome: TransportOutcome) -> Self {
+    fn new(first_tier_result: TransportOutcome) -> Self {
         let class = |effect, group, ordered, priority_weight| Class {
             effect,
             group,
@@ -89,7 +91,7 @@
             weight: 50.0,
         };
         engine.update_endpoints(now, vec![endpoint(1), endpoint(2)]);
-        TwoTiers { engine, now, north_outcome, south_received: Vec::new(), outcomes: Vec::new() }
+        TwoTiers { engine, now, first_tier_result, second_tier_received: Vec::new(), outcomes: Vec::new() }
     }
 
     fn submit(&mut self, name: &str, class: u8, key: Option<u64>) {
@@ -108,7 +110,8 @@
         assert!(matches!(self.engine.submit(self.now, request), Admission::New(_)));
     }
 
-    /// Runs for this time: attempts end after 5 ms, as the tier that they went to has it.
+    /// Advances the engine for `span`. Attempts end after [`LATENCY`]: those at the first tier with
+    /// `first_tier_result`, those at the second as processed.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         let mut in_flight: Vec<InFlight> = Vec::new();
@@ -137,13 +140,13 @@
                 return;
             };
             self.now = next.max(self.now + Duration::from_micros(10));
-            let (ended, left) = in_flight.into_iter().partition(|attempt| attempt.ends_at <= self.now);
-            in_flight = left;
+            let (ended, remaining) = in_flight.into_iter().partition(|attempt| attempt.ends_at <= self.now);
+            in_flight = remaining;
             for InFlight { endpoint, attempt, .. } in ended {
                 let outcome =
-                    if endpoint == NORTH { self.north_outcome } else { TransportOutcome::Processed };
-                if endpoint == SOUTH {
-                    self.south_received
+                    if endpoint == FIRST_TIER { self.first_tier_result } else { TransportOutcome::Processed };
+                if endpoint == SECOND_TIER {
+                    self.second_tier_received
                         .push(self.engine.idempotency_key(attempt.message).unwrap_or_default().to_owned());
                 }
                 self.engine.on_attempt_completed(self.now, attempt, outcome, None);
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn messages_waiting_for_a_down_tier_move_and_keep_the_order_of_their_key() {
+fn messages_queued_for_a_down_tier_migrate_in_order_of_their_key() {
     let mut tiers = TwoTiers::new(TransportOutcome::ConnectFailed);
     for name in ["a", "b", "c", "d"] {
         tiers.submit(name, ORDERED, Some(7));
@@ -167,14 +170,14 @@
         "{:?}",
         tiers.outcomes
     );
-    let ordered: Vec<&String> = tiers.south_received.iter().filter(|name| *name != "salary").collect();
+    let ordered: Vec<&String> = tiers.second_tier_received.iter().filter(|name| *name != "salary").collect();
     assert_eq!(ordered, ["a", "b", "c", "d"]);
     assert!(tiers.engine.counters().relocated >= 5, "{:?}", tiers.engine.counters());
 }
 
 #[test]
-fn message_that_may_have_run_moves_only_where_all_tiers_drop_duplicates() {
-    // The connection breaks after the message was sent: nobody knows whether it ran.
+fn message_that_may_have_run_migrates_only_if_all_tiers_deduplicate_it() {
+    // The connection is reset after the message was sent, so it is unknown whether the message took effect.
     let mut tiers = TwoTiers::new(TransportOutcome::Reset);
     tiers.submit("salary", UNSAFE, None);
     tiers.submit("zone", IN_ZONE, None);
@@ -182,7 +185,7 @@
     tiers.run(seconds(3));
     assert!(matches!(tiers.engine.tier_statuses(DestinationId(0))[0], TierStatus::Down(_)));
     tiers.run(seconds(40));
-    assert_eq!(tiers.south_received, ["all"], "{:?}", tiers.outcomes);
+    assert_eq!(tiers.second_tier_received, ["all"], "{:?}", tiers.outcomes);
     let outcomes_of = |name: &str| {
         let named = tiers.outcomes.iter().filter(|named| named.name == name);
         named.map(|named| named.outcome).collect::<Vec<_>>()
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn new_message_of_a_key_does_not_overtake_those_waiting_for_a_down_tier() {
+fn new_message_does_not_overtake_messages_of_its_key_queued_for_a_down_tier() {
     let mut tiers = TwoTiers::new(TransportOutcome::Reset);
     tiers.submit("first", ORDERED, Some(1));
     tiers.submit("zone", IN_ZONE, None);
@@ -201,5 +204,5 @@
     tiers.submit("second", ORDERED, Some(1));
     tiers.submit("third", ORDERED, Some(1));
     tiers.run(seconds(40));
-    assert_eq!(tiers.south_received, ["first", "second", "third"], "{:?}", tiers.outcomes);
+    assert_eq!(tiers.second_tier_received, ["first", "second", "third"], "{:?}", tiers.outcomes);
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,26 +1,30 @@
-//! Message bodies: their length, and chunked transfer coding.
+//! Body framing: body length and chunked transfer coding.
 
 use crate::message::{HttpError, Limits, StartLine};
 use crate::Headers;
 
 /// How the end of a body is determined.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum BodyKind {
-    /// Of this length in bytes.
+pub(crate) enum BodyFraming {
+    /// The body has this length in bytes.
     Length(usize),
-    /// In chunks.
+    /// The last chunk ends the body.
     Chunked,
-    /// A response without a length, which ends with its connection.
-    ToEnd,
+    /// The end of the connection ends the body: a response without a length.
+    UntilClose,
 }
 
 /// Determines how a body ends (RFC 9112, section 6.3).
-pub(crate) fn body_kind(start_line: &StartLine, minor: u8, headers: &Headers) -> Result<BodyKind, HttpError> {
+pub(crate) fn body_framing(
+    start_line: &StartLine,
+    minor_version: u8,
+    headers: &Headers,
+) -> Result<BodyFraming, HttpError> {
     let codings: Vec<&str> =
         headers.get_all("transfer-encoding").flat_map(|v| v.split(',')).map(str::trim).collect();
     let mut lengths = headers.get_all("content-length").flat_map(|v| v.split(',')).map(str::trim);
     let length = lengths.next();
-    // Guards against request smuggling: two programs that trust different lengths split the bytes differently.
+    // Prevents request smuggling: a proxy and a server that pick different lengths disagree on message boundaries.
     if lengths.any(|other| Some(other) != length) {
         return Err(HttpError::InvalidLength("two Content-Length values that differ"));
     }
@@ -28,39 +32,42 @@
         if length.is_some() {
             return Err(HttpError::InvalidLength("both Content-Length and Transfer-Encoding"));
         }
-        if minor == 0 {
+        if minor_version == 0 {
             return Err(HttpError::InvalidLength("Transfer-Encoding in HTTP/1.0"));
         }
         return match codings[..] {
-            [only] if only.eq_ignore_ascii_case("chunked") => Ok(BodyKind::Chunked),
+            [only] if only.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
             _ => Err(HttpError::InvalidLength("a Transfer-Encoding other than chunked")),
         };
     }
-    let bodiless = matches!(start_line, StartLine::Response { status: 100..=199 | 204 | 304 });
+    let has_no_body = matches!(start_line, StartLine::Response { status: 100..=199 | 204 | 304 });
     match (length, start_line) {
-        _ if bodiless => Ok(BodyKind::Length(0)),
+        _ if has_no_body => Ok(BodyFraming::Length(0)),
         (Some(digits), _) => {
             let is_decimal = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
             let value = digits.parse().ok().filter(|_| is_decimal);
-            value.map(BodyKind::Length).ok_or(HttpError::InvalidLength("a Content-Length that is no number"))
+            value
+                .map(BodyFraming::Length)
+                .ok_or(HttpError::InvalidLength("a Content-Length that is no number"))
         }
-        (None, StartLine::Request { .. }) => Ok(BodyKind::Length(0)),
-        (None, StartLine::Response { .. }) => Ok(BodyKind::ToEnd),
+        (None, StartLine::Request { .. }) => Ok(BodyFraming::Length(0)),
+        (None, StartLine::Response { .. }) => Ok(BodyFraming::UntilClose),
     }
 }
 
-/// Most bytes in the size line of a chunk; chunk extensions are ignored.
-const MAX_CHUNK_LINE: usize = 256;
+/// Maximum bytes of a chunk-size line, with its CRLF and its chunk extensions, which are ignored.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Moves whole chunks from the buffer to the body; returns whether the last one was among them.
+/// Moves the data of complete chunks from the buffer to the body. Returns whether the body is complete: its last chunk
+/// and its trailer section have been read.
 pub(crate) fn read_chunks(
     buffer: &mut Vec<u8>,
     body: &mut Vec<u8>,
     limits: &Limits,
 ) -> Result<bool, HttpError> {
-    let mut at = 0;
-    let done = loop {
-        let Some(line) = line_at(&buffer[at..], MAX_CHUNK_LINE)? else { break false };
+    let mut offset = 0;
+    let is_complete = loop {
+        let Some(line) = first_line(&buffer[offset..], MAX_CHUNK_LINE_BYTES)? else { break false };
         let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let text = std::str::from_utf8(digits).ok().filter(|t| !t.is_empty() && !t.starts_with('+'));
         let size = text
@@ -69,10 +76,10 @@
         if body.len().saturating_add(size) > limits.max_body_bytes {
             return Err(HttpError::LimitExceeded("body", limits.max_body_bytes));
         }
-        let data = at + line.len() + 2;
+        let data = offset + line.len() + 2;
         if size == 0 {
             match trailer_end(&buffer[data..], limits.max_head_bytes)? {
-                Some(end) => at = data + end,
+                Some(end) => offset = data + end,
                 None => break false,
             }
             break true;
@@ -84,33 +91,34 @@
             return Err(HttpError::MalformedChunk("data does not end where its size says"));
         }
         body.extend_from_slice(&buffer[data..data + size]);
-        at = data + size + 2;
+        offset = data + size + 2;
     };
-    buffer.drain(..at);
-    Ok(done)
+    buffer.drain(..offset);
+    Ok(is_complete)
 }
 
-/// The first line, without its end; none if it is not whole yet.
-fn line_at(bytes: &[u8], most: usize) -> Result<Option<&[u8]>, HttpError> {
-    match bytes.iter().take(most).position(|b| *b == b'\n') {
+/// Returns the first line without its CRLF, or `None` if it is incomplete. It is an error if the first `max_bytes`
+/// bytes contain no line end.
+fn first_line(bytes: &[u8], max_bytes: usize) -> Result<Option<&[u8]>, HttpError> {
+    match bytes.iter().take(max_bytes).position(|b| *b == b'\n') {
         Some(end) if end > 0 && bytes[end - 1] == b'\r' => Ok(Some(&bytes[..end - 1])),
         Some(_) => Err(HttpError::MalformedChunk("a line that ends without CR")),
-        None if bytes.len() >= most => Err(HttpError::LimitExceeded("chunk line", most)),
+        None if bytes.len() >= max_bytes => Err(HttpError::LimitExceeded("chunk line", max_bytes)),
         None => Ok(None),
     }
 }
 
-/// Where the trailer fields end; they are ignored.
-fn trailer_end(bytes: &[u8], most: usize) -> Result<Option<usize>, HttpError> {
-    let mut at = 0;
+/// Returns the offset of the end of the trailer section, or `None` if it is incomplete. Trailer fields are ignored.
+fn trailer_end(bytes: &[u8], max_bytes: usize) -> Result<Option<usize>, HttpError> {
+    let mut offset = 0;
     loop {
-        match line_at(&bytes[at..], most)? {
+        match first_line(&bytes[offset..], max_bytes)? {
             None => return Ok(None),
-            Some([]) => return Ok(Some(at + 2)),
-            Some(line) => at += line.len() + 2,
+            Some([]) => return Ok(Some(offset + 2)),
+            Some(line) => offset += line.len() + 2,
         }
-        if at > most {
-            return Err(HttpError::LimitExceeded("trailer", most));
+        if offset > max_bytes {
+            return Err(HttpError::LimitExceeded("trailer", max_bytes));
         }
     }
 }
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,70 +1,72 @@
-//! Incremental decoding of messages.
+//! Incremental decoding of requests and responses.
 
-use crate::body::{body_kind, read_chunks, BodyKind};
+use crate::body::{body_framing, read_chunks, BodyFraming};
 use crate::message::{DecodedItem, HttpError, Limits, Message, StartLine};
 use crate::Headers;
 use std::time::Duration;
 
-/// How far the reading of a head has come.
+/// Result of an attempt to decode a head.
 enum HeadProgress {
     /// More bytes are needed.
     Incomplete,
-    /// The head is whole.
+    /// The head was decoded.
     Complete,
-    /// The head is whole, and the client waits for [`crate::CONTINUE`].
+    /// The head was decoded, and the client waits for [`crate::CONTINUE`].
     ExpectsContinue,
 }
 
 enum Stage {
     Head,
-    Body { message: Message, kind: BodyKind },
+    Body { message: Message, framing: BodyFraming },
 }
 
-/// An incremental decoder of one peer's messages. Buffers at most a head and a body of the allowed size.
+/// Incremental decoder of the messages that a peer sends on one connection. Buffers at most a head and a body within
+/// [`Limits`] if each [`Decoder::feed`] is followed by calls of [`Decoder::next`].
 pub struct Decoder {
     is_server: bool,
     limits: Limits,
     buffer: Vec<u8>,
     stage: Stage,
-    /// When the first byte of the present message came.
-    message_since: Option<Duration>,
-    /// Status and header fields of the response being read, once its head is whole.
+    /// Time at which the first byte of the current message arrived.
+    message_started_at: Option<Duration>,
+    /// Status and header fields of the current response, once its head is complete.
     head: Option<(u16, Headers)>,
 }
 
 impl Decoder {
-    /// A decoder of requests.
+    /// Creates a decoder of requests.
     pub fn server(limits: Limits) -> Self {
         Decoder {
             is_server: true,
             limits,
             buffer: Vec::new(),
             stage: Stage::Head,
-            message_since: None,
+            message_started_at: None,
             head: None,
         }
     }
 
-    /// A decoder of responses to requests other than HEAD.
+    /// Creates a decoder of responses. Responses to HEAD requests are not supported: their `Content-Length` would be
+    /// taken for the length of a body.
     pub fn client(limits: Limits) -> Self {
         Decoder { is_server: false, ..Decoder::server(limits) }
     }
 
-    /// Appends received bytes. `now` counts from any fixed start.
+    /// Appends received bytes. `now` is the time since any fixed point, the same one in all calls.
     pub fn feed(&mut self, now: Duration, bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.message_since.get_or_insert(now);
+            self.message_started_at.get_or_insert(now);
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Received bytes that are not decoded yet.
+    /// Number of received bytes that are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Status of the response being read, as soon as its start line is there to its end, whatever the rest is like;
-    /// interim responses are ignored.
+    /// Returns the status of the current response as soon as its status line is complete, even if the rest of the
+    /// response is missing or malformed. Interim responses (1xx) are ignored.
     pub fn status(&self) -> Option<u16> {
         self.head.as_ref().map(|(status, _)| *status).or_else(|| {
             let line_end = self.buffer.iter().position(|byte| *byte == b'\n')?;
@@ -77,25 +79,27 @@
         })
     }
 
-    /// Status and header fields of the response being read, as soon as its head is whole, whatever its body is like.
+    /// Returns the status and header fields of the current response as soon as its head is complete, even if its body
+    /// is missing or malformed.
     pub fn head(&self) -> Option<(u16, &Headers)> {
         self.head.as_ref().map(|(status, headers)| (*status, headers))
     }
 
-    /// When the message being read times out, if there is one.
+    /// Returns the time at which the current message times out, if one has begun.
     pub fn deadline(&self) -> Option<Duration> {
-        let span = match self.stage {
+        let timeout = match self.stage {
             Stage::Head => self.limits.head_timeout,
             Stage::Body { .. } => self.limits.message_timeout,
         };
-        self.message_since.map(|began| began.saturating_add(span))
+        self.message_started_at.map(|started_at| started_at.saturating_add(timeout))
     }
 
-    /// Checks the time of the message being read; guards against peers that send a byte every few seconds.
+    /// Checks the deadline of the current message. Without it, a peer that sends a byte every few seconds could hold
+    /// its connection indefinitely.
     ///
     /// # Errors
     ///
-    /// [`HttpError::TimedOut`] from its deadline on.
+    /// Returns [`HttpError::TimedOut`] if `now` is at or past the deadline.
     pub fn check_deadline(&self, now: Duration) -> Result<(), HttpError> {
         match self.deadline() {
             Some(deadline) if now >= deadline => Err(match self.stage {
@@ -106,11 +110,12 @@
         }
     }
 
-    /// Decodes the next item, if it is whole. Call again until there is none.
+    /// Decodes the next item, or returns `None` if more bytes are needed. Call it after each [`Decoder::feed`] until it
+    /// returns `None`.
     ///
     /// # Errors
     ///
-    /// If the bytes are not HTTP/1.x or go over a limit.
+    /// Returns an error if the bytes are not valid HTTP/1.x or exceed a limit; decoding cannot continue after it.
     pub fn next(&mut self, now: Duration) -> Result<Option<DecodedItem>, HttpError> {
         loop {
             match &self.stage {
@@ -121,7 +126,7 @@
                 },
                 Stage::Body { .. } => {
                     let Some(message) = self.read_body()? else { return Ok(None) };
-                    self.message_since = (!self.buffer.is_empty()).then_some(now);
+                    self.message_started_at = (!self.buffer.is_empty()).then_some(now);
                     self.head = None;
                     return Ok(Some(DecodedItem::Message(message)));
                 }
@@ -129,17 +134,18 @@
         }
     }
 
-    /// Ends decoding as the peer has closed: returns the response that lasts until then, if one was being read.
+    /// Ends decoding after the peer closed the connection. Returns the current response if the end of the connection
+    /// delimits its body.
     ///
     /// # Errors
     ///
-    /// [`HttpError::UnexpectedEnd`] inside any other message.
+    /// Returns [`HttpError::UnexpectedEnd`] if any other message is incomplete.
     pub fn on_connection_end(&mut self) -> Result<Option<Message>, HttpError> {
         match std::mem::replace(&mut self.stage, Stage::Head) {
-            Stage::Body { mut message, kind: BodyKind::ToEnd, .. } => {
+            Stage::Body { mut message, framing: BodyFraming::UntilClose, .. } => {
                 message.body = std::mem::take(&mut self.buffer);
                 message.keep_alive = false;
-                self.message_since = None;
+                self.message_started_at = None;
                 Ok(Some(message))
             }
             Stage::Head if self.buffer.is_empty() => Ok(None),
@@ -147,62 +153,62 @@
         }
     }
 
-    /// Reads a head.
+    /// Decodes the next head from the buffer and selects the framing of its body.
     fn read_head(&mut self) -> Result<HeadProgress, HttpError> {
-        // Empty lines before a request are ignored (RFC 9112, section 2.2).
-        let blank = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-        self.buffer.drain(..blank);
+        // Empty lines before a request are ignored (RFC 9112, section 2.2), and likewise before a response.
+        let blank_bytes = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+        self.buffer.drain(..blank_bytes);
         if self.buffer.is_empty() {
-            self.message_since = None;
+            self.message_started_at = None;
             return Ok(HeadProgress::Incomplete);
         }
-        let window = &self.buffer[..self.buffer.len().min(self.limits.max_head_bytes)];
+        let head_bytes = &self.buffer[..self.buffer.len().min(self.limits.max_head_bytes)];
         let mut fields = vec![httparse::EMPTY_HEADER; self.limits.max_header_fields];
-        let malformed = |error: httparse::Error| match error {
+        let to_http_error = |error: httparse::Error| match error {
             httparse::Error::TooManyHeaders => {
                 HttpError::LimitExceeded("number of header fields", self.limits.max_header_fields)
             }
             other => HttpError::MalformedHead(other.to_string()),
         };
-        let (start_line, minor, length, headers) = if self.is_server {
+        let (start_line, minor_version, length, headers) = if self.is_server {
             let mut head = httparse::Request::new(&mut fields);
-            let status = head.parse(window).map_err(malformed)?;
+            let status = head.parse(head_bytes).map_err(to_http_error)?;
             let httparse::Status::Complete(length) = status else { return self.incomplete_head() };
             let start_line = StartLine::Request {
                 method: head.method.unwrap_or_default().to_owned(),
                 target: head.path.unwrap_or_default().to_owned(),
             };
-            (start_line, head.version.unwrap_or(0), length, collect(head.headers))
+            (start_line, head.version.unwrap_or(0), length, to_headers(head.headers))
         } else {
             let mut head = httparse::Response::new(&mut fields);
-            let status = head.parse(window).map_err(malformed)?;
+            let status = head.parse(head_bytes).map_err(to_http_error)?;
             let httparse::Status::Complete(length) = status else { return self.incomplete_head() };
             let start_line = StartLine::Response { status: head.code.unwrap_or(0) };
-            (start_line, head.version.unwrap_or(0), length, collect(head.headers))
+            (start_line, head.version.unwrap_or(0), length, to_headers(head.headers))
         };
         self.buffer.drain(..length);
         if let StartLine::Response { status: status @ 200.. } = start_line {
             self.head = Some((status, headers.clone()));
         }
-        let kind = body_kind(&start_line, minor, &headers)?;
-        if let BodyKind::Length(length) = kind {
+        let framing = body_framing(&start_line, minor_version, &headers)?;
+        if let BodyFraming::Length(length) = framing {
             if length > self.limits.max_body_bytes {
                 return Err(HttpError::LimitExceeded("body", self.limits.max_body_bytes));
             }
         }
-        // Interim responses carry nothing of use here (RFC 9110, section 15.2).
+        // Interim responses are skipped; the final response follows (RFC 9110, section 15.2).
         if matches!(start_line, StartLine::Response { status: 100..=199 }) {
             return Ok(HeadProgress::Complete);
         }
-        let keep_alive = kind != BodyKind::ToEnd
+        let keep_alive = framing != BodyFraming::UntilClose
             && !headers.has_token("connection", "close")
-            && (minor == 1 || headers.has_token("connection", "keep-alive"));
+            && (minor_version == 1 || headers.has_token("connection", "keep-alive"));
         let expects_continue = self.is_server
             && headers.has_token("expect", "100-continue")
             && self.buffer.is_empty()
-            && kind != BodyKind::Length(0);
+            && framing != BodyFraming::Length(0);
         let message = Message { start_line, headers, body: Vec::new(), keep_alive };
-        self.stage = Stage::Body { message, kind };
+        self.stage = Stage::Body { message, framing };
         Ok(if expects_continue { HeadProgress::ExpectsContinue } else { HeadProgress::Complete })
     }
 
@@ -215,20 +221,20 @@
     }
 
     fn read_body(&mut self) -> Result<Option<Message>, HttpError> {
-        let Stage::Body { message, kind } = &mut self.stage else { return Ok(None) };
-        let body = match *kind {
-            BodyKind::Length(length) if self.buffer.len() < length => return Ok(None),
-            BodyKind::Length(length) => {
+        let Stage::Body { message, framing } = &mut self.stage else { return Ok(None) };
+        let body = match *framing {
+            BodyFraming::Length(length) if self.buffer.len() < length => return Ok(None),
+            BodyFraming::Length(length) => {
                 let rest = self.buffer.split_off(length);
                 std::mem::replace(&mut self.buffer, rest)
             }
-            BodyKind::ToEnd if self.buffer.len() > self.limits.max_body_bytes => {
+            BodyFraming::UntilClose if self.buffer.len() > self.limits.max_body_bytes => {
                 return Err(HttpError::LimitExceeded("body", self.limits.max_body_bytes))
             }
-            BodyKind::ToEnd => return Ok(None),
-            BodyKind::Chunked => {
-                let whole = read_chunks(&mut self.buffer, &mut message.body, &self.limits)?;
-                if !whole {
+            BodyFraming::UntilClose => return Ok(None),
+            BodyFraming::Chunked => {
+                let is_complete = read_chunks(&mut self.buffer, &mut message.body, &self.limits)?;
+                if !is_complete {
                     return Ok(None);
                 }
                 std::mem::take(&mut message.body)
@@ -242,7 +248,7 @@
     }
 }
 
-fn collect(fields: &[httparse::Header]) -> Headers {
+fn to_headers(fields: &[httparse::Header]) -> Headers {
     let mut headers = Headers::new();
     for field in fields {
         headers.add(field.name, String::from_utf8_lossy(field.value));
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,8 +1,8 @@
-//! Encoding of messages.
+//! Encoding of requests and responses.
 
 use crate::Headers;
 
-/// The interim response that lets a client send its body (RFC 9110, section 15.2.1).
+/// Interim response that tells a client to send its body (RFC 9110, section 15.2.1).
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 fn encode(start_line: &str, headers: &Headers, framing_fields: &str, body: &[u8]) -> Vec<u8> {
@@ -23,25 +23,31 @@
     encode(&format!("{method} {target} HTTP/1.1\r\n"), headers, &length, body)
 }
 
-/// Encodes a request in chunks of at most `chunk` bytes, as sent by clients that don't know the length ahead.
+/// Encodes a request with chunked transfer coding, as clients send it that don't know the body length in advance. Each
+/// chunk holds at most `chunk_bytes` bytes; 0 counts as 1.
 pub fn encode_chunked_request(
     method: &str,
     target: &str,
     headers: &Headers,
     body: &[u8],
-    chunk: usize,
+    chunk_bytes: usize,
 ) -> Vec<u8> {
-    let mut coded = Vec::with_capacity(body.len() + 64);
-    for part in body.chunks(chunk.max(1)) {
-        coded.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
-        coded.extend_from_slice(part);
-        coded.extend_from_slice(b"\r\n");
+    let mut chunked_body = Vec::with_capacity(body.len() + 64);
+    for data in body.chunks(chunk_bytes.max(1)) {
+        chunked_body.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
+        chunked_body.extend_from_slice(data);
+        chunked_body.extend_from_slice(b"\r\n");
     }
-    coded.extend_from_slice(b"0\r\n\r\n");
-    encode(&format!("{method} {target} HTTP/1.1\r\n"), headers, "Transfer-Encoding: chunked\r\n", &coded)
+    chunked_body.extend_from_slice(b"0\r\n\r\n");
+    encode(
+        &format!("{method} {target} HTTP/1.1\r\n"),
+        headers,
+        "Transfer-Encoding: chunked\r\n",
+        &chunked_body,
+    )
 }
 
-/// Encodes a response with `Content-Length`; 204 and 304 carry none (RFC 9110, section 8.6).
+/// Encodes a response with `Content-Length`, which is omitted for 204 and 304 (RFC 9110, section 8.6).
 pub fn encode_response(status: u16, reason: &str, headers: &Headers, body: &[u8]) -> Vec<u8> {
     let length = match status {
         204 | 304 => String::new(),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 framing both ways (RFC 9112), free of I/O: bytes and the time go in, whole messages come out.
+//! HTTP/1.1 framing for clients and servers (RFC 9112) without I/O: the caller passes received bytes and the time and
+//! gets complete messages.
 //!
-//! It never opens a socket, reads a clock or guesses a length: conflicting body lengths are an error, as a message that
-//! two programs split differently can smuggle a second one (RFC 9112, section 11.2).
+//! The crate opens no sockets and reads no clock. Conflicting body lengths are an error, because a message whose end
+//! two programs determine differently can smuggle a second one (RFC 9112, section 11.2).
 #![forbid(unsafe_code)]
 
 mod body;
@@ -15,12 +16,12 @@
 pub use headers::Headers;
 pub use message::{DecodedItem, HttpError, Limits, Message, StartLine};
 
-/// Address and path of a plain `http://` URL whose host is a numeric address, such as `http://127.0.0.1:80/as2`.
-/// Host names are not resolved: none for any other URL.
+/// Returns the socket address and the path of an `http://` URL with an IP address and a port, such as
+/// `http://127.0.0.1:80/as2`; without a path it is `/`. Returns `None` for any other URL: host names are not resolved.
 pub fn parse_http_url(url: &str) -> Option<(std::net::SocketAddr, String)> {
     let rest = url.strip_prefix("http://")?;
     let (host, path) = match rest.find('/') {
-        Some(at) => rest.split_at(at),
+        Some(slash) => rest.split_at(slash),
         None => (rest, "/"),
     };
     Some((host.parse().ok()?, path.to_owned()))
--- a/crates/http/src/message.rs
+++ b/crates/http/src/message.rs
@@ -1,21 +1,22 @@
-//! Decoded messages, limits and errors.
+//! Decoded messages, decoder limits and errors.
 
 use crate::Headers;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Limits on the size and duration of one message of a peer.
+/// Limits on the size and receive time of each message from a peer.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a start line with its header fields.
+    /// Maximum bytes of the head: the start line and the header fields. Also limits the trailer section of a chunked
+    /// body.
     pub max_head_bytes: usize,
-    /// Number of header fields.
+    /// Maximum number of header fields in a head.
     pub max_header_fields: usize,
-    /// Bytes of a body.
+    /// Maximum bytes of a body, without chunk framing.
     pub max_body_bytes: usize,
-    /// Time from a message's first byte to the end of its head.
+    /// Maximum time from the first byte of a message to the end of its head.
     pub head_timeout: Duration,
-    /// Time from a message's first byte to its last.
+    /// Maximum time from the first byte of a message to its last byte.
     pub message_timeout: Duration,
 }
 
@@ -31,64 +32,64 @@
     }
 }
 
-/// An error in a peer's bytes. The connection can't be used any further.
+/// Reason why received bytes cannot be decoded. The connection must not be used any further.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// Not HTTP/1.x.
+    /// The start line or a header field is not valid HTTP/1.x; holds the reason.
     #[error("malformed head: {0}")]
     MalformedHead(String),
-    /// Over a limit; holds what is limited and the greatest allowed value.
+    /// A limit is exceeded; holds the limited quantity and its maximum.
     #[error("{0} is over the limit of {1}")]
     LimitExceeded(&'static str, usize),
-    /// Body lengths that conflict or can't be read: guards against request smuggling.
+    /// The body length is ambiguous or invalid. Rejecting it prevents request smuggling.
     #[error("body length: {0}")]
     InvalidLength(&'static str),
-    /// A chunk that violates RFC 9112, section 7.1.
+    /// A chunk violates RFC 9112, section 7.1.
     #[error("malformed chunk: {0}")]
     MalformedChunk(&'static str),
-    /// The connection ended inside a message.
+    /// The peer closed the connection before the message was complete.
     #[error("the connection ended inside a message")]
     UnexpectedEnd,
-    /// A head or message took longer than allowed.
+    /// A head or message was not complete in time; holds which one and its limit.
     #[error("{0} took longer than {1:?}")]
     TimedOut(&'static str, Duration),
 }
 
-/// A start line.
+/// Start line of a message, without the HTTP version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// Of a request.
+    /// Request line.
     Request {
-        /// Such as `POST`.
+        /// Method, such as `POST`.
         method: String,
-        /// Such as `/as2`.
+        /// Request target as received, such as `/as2`.
         target: String,
     },
-    /// Of a response.
+    /// Status line; the reason phrase is dropped.
     Response {
-        /// Such as 200.
+        /// Status code, such as 200.
         status: u16,
     },
 }
 
-/// A whole HTTP message.
+/// A complete HTTP message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its start line.
+    /// Request line or status line.
     pub start_line: StartLine,
-    /// Its header fields.
+    /// Header fields in order of appearance, without trailer fields.
     pub headers: Headers,
-    /// Its body, chunks joined.
+    /// Body without transfer coding.
     pub body: Vec<u8>,
-    /// Whether the connection may carry another message.
+    /// Whether the peer allows another message on the connection (RFC 9112, section 9.3).
     pub keep_alive: bool,
 }
 
-/// A result of decoding.
+/// Result of [`crate::Decoder::next`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodedItem {
-    /// The client waits for [`crate::CONTINUE`] before it sends its body.
+    /// The client waits for [`crate::CONTINUE`] before it sends its body. Reported at most once per request.
     ExpectsContinue,
-    /// A message is complete.
+    /// A complete message.
     Message(Message),
 }
