--- a/crates/platform/src/client_request.rs
+++ b/crates/platform/src/client_request.rs
@@ -49,7 +49,7 @@
     /// The command has too few or too many arguments.
     #[error("ERR {command} takes {expected} words after its name, got {actual}")]
     WrongArgumentCount {
-        /// The command's name.
+        /// The command's name in capitals, however the client wrote it.
         command: &'static str,
         /// Number of arguments that the command takes.
         expected: usize,
@@ -59,7 +59,7 @@
     /// The value of an argument or field is invalid.
     #[error("ERR {field}: {reason}")]
     InvalidField {
-        /// Name of the argument or field.
+        /// Name of the argument (`id`, `key`, `fields`, `body`) or of the field in `fields` (`c`, `d`, `dest`, `k`).
         field: &'static str,
         /// What is wrong with the value, or what is allowed.
         reason: &'static str,
@@ -69,7 +69,7 @@
 /// The classes that a submission may name.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClasses<'a> {
-    /// The classes of the settings, by index.
+    /// The classes of the settings; the index of a class is its [`ClassId`].
     pub classes: &'a [Class],
     /// The names of the classes, by the same index.
     pub names: &'a [String],
--- a/crates/platform/src/client_sessions.rs
+++ b/crates/platform/src/client_sessions.rs
@@ -146,9 +146,9 @@
 /// A client that must be disconnected now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disconnect {
-    /// The client's connection.
+    /// The connection to close; it is already removed from [`ClientSessions`].
     pub connection: ConnectionId,
-    /// Why it is disconnected.
+    /// Why; [`DisconnectReason::error_text`] tells whether an error reply precedes the close.
     pub reason: DisconnectReason,
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -17,9 +17,9 @@
     /// The value of a field is invalid.
     #[error("{field}: '{value}' is no {allowed}")]
     InvalidValue {
-        /// Name of the field.
+        /// Name of the field in the configuration file.
         field: &'static str,
-        /// The invalid value.
+        /// The value, as it stands in the file.
         value: String,
         /// Description of the allowed values.
         allowed: &'static str,
@@ -71,7 +71,7 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Name of the gateway instance.
+    /// Name of the gateway instance, for its log lines.
     pub name: String,
     /// Address on which the gateway accepts clients.
     pub listen: SocketAddr,
@@ -92,13 +92,13 @@
 /// Names of what the settings refer to by index. Each list is in the order of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingNames {
-    /// Message classes.
+    /// Names of the message classes: `Lanes.N.Name` for index `N`.
     pub classes: Vec<String>,
-    /// Endpoint kinds.
+    /// Names of the endpoint kinds: the list `MachineTypes`.
     pub kinds: Vec<String>,
-    /// Zones.
+    /// Names of the zones: the list `Zones`.
     pub zones: Vec<String>,
-    /// Fields of load reports.
+    /// Names of the fields in load reports: the list `Report.Fields`.
     pub report_fields: Vec<String>,
 }
 
--- a/crates/platform/src/connection_pool.rs
+++ b/crates/platform/src/connection_pool.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// A connection to an endpoint.
+/// A connection to an endpoint, open or being established.
 pub(crate) struct Connection {
     pub endpoint: EndpointId,
     pub address: SocketAddr,
@@ -120,7 +120,7 @@
     }
 }
 
-/// All connections to endpoints.
+/// All connections to endpoints, at most `max_connections` at once.
 pub(crate) struct ConnectionPool {
     connections: BTreeMap<ConnectionId, Connection>,
     /// Idle connections by endpoint, the most recently used one last.
@@ -153,7 +153,7 @@
         self.connections.get_mut(&id)
     }
 
-    /// Adds a new connection.
+    /// Adds a connection that is being established for an attempt.
     pub fn insert(&mut self, id: ConnectionId, connection: Connection) {
         self.connections.insert(id, connection);
     }
--- a/crates/platform/src/discovery_connection.rs
+++ b/crates/platform/src/discovery_connection.rs
@@ -32,7 +32,7 @@
     AwaitingResponse,
 }
 
-/// The connection to the discovery agent.
+/// A connection to the discovery agent. It is not opened until [`DiscoveryConnection::connect`] is called.
 pub(crate) struct DiscoveryConnection {
     address: SocketAddr,
     limits: Limits,
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An endpoint of the list.
+/// An endpoint as the policy knows it, with the address to connect to.
 struct ListedEndpoint {
     endpoint: Endpoint,
     address: SocketAddr,
@@ -55,7 +55,7 @@
         self.destinations.contains(&id)
     }
 
-    /// All listed endpoints.
+    /// All listed endpoints in the form of the policy, sorted by their id in service discovery.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.listed.values().map(|listed| listed.endpoint.clone()).collect()
     }
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -41,7 +41,7 @@
 pub struct Notification {
     /// The message id assigned by the client.
     pub message_id: String,
-    /// How the message ended.
+    /// Whether the message may have taken effect.
     pub status: NotificationStatus,
     /// The message's order key. The next message with this key waits until this notification is settled.
     pub order_key: Option<OrderKey>,
@@ -50,7 +50,7 @@
 /// When a notification may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Release {
-    /// Immediately.
+    /// With the next [`Notifications::on_tick`], even if its record is not stored in the log yet.
     AtOnce,
     /// After the next [`Notifications::release_held`], that is, once its record is stored in the log.
     OnceStored,
@@ -59,9 +59,9 @@
 /// Numbers of the messages whose notifications a response of the platform settles.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettledNotifications {
-    /// Acknowledged by the platform.
+    /// Acknowledged by the platform: a response with status 2xx.
     pub acknowledged: Vec<u32>,
-    /// Permanently rejected by the platform; not sent again.
+    /// Permanently rejected by the platform, by a response with status 4xx to this notification alone; not sent again.
     pub rejected: Vec<u32>,
 }
 
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -41,16 +41,16 @@
 /// An attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CompletedAttempt {
-    /// The attempt.
+    /// The message, and the number of this attempt at it.
     pub attempt: Attempt,
-    /// How it ended.
+    /// The outcome, and the rate limit that the response reported.
     pub result: AttemptResult,
 }
 
 /// A `Retry-After` received from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfter {
-    /// The endpoint.
+    /// The endpoint whose response contained it.
     pub endpoint: EndpointId,
     /// Time to wait, counted from the moment this event is reported.
     pub delay: Duration,
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -7,7 +7,7 @@
 //! | 429 | complete | rejected, with the `Retry-After` if it is valid |
 //! | 503 | complete | rejected; unsent if `X-Line-Busy: 1` is set |
 //! | 503 | complete, closes the connection, no `Retry-After` | connect failed: no room for another connection |
-//! | 504 | complete | unsent: attempts exhausted |
+//! | 504 | complete | unsent: the message's attempts are used up, so the endpoint did not run the request |
 //! | 410 | complete | obsolete: the message has already ended |
 //! | any other | complete | error, may have been processed |
 //! | not 200 | malformed or over a limit | error, may have been processed, even with a rejecting status |
@@ -39,7 +39,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// Whether the endpoint processed the request, as far as the connection and the response tell.
     pub outcome: TransportOutcome,
     /// The endpoint's rate limit, if the response contains a valid report of it.
     pub rate_limit: Option<RateLimitStatus>,
@@ -55,7 +55,7 @@
 /// What a reader learned from the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub struct ResponseProgress {
-    /// The result of the attempt; reported once per response.
+    /// The result of the attempt; reported once per response, as soon as it is certain.
     pub result: Option<AttemptResult>,
     /// The `Retry-After` of a rejection; reported once per response, as soon as the head is read.
     pub retry_after: Option<Duration>,
--- a/crates/platform/src/settings_validation.rs
+++ b/crates/platform/src/settings_validation.rs
@@ -99,7 +99,7 @@
     InvalidValue {
         /// Path of the setting, such as `Lanes.0.Aim`.
         path: String,
-        /// The invalid value.
+        /// The value, as it stands in the settings.
         value: String,
         /// Description of the allowed values.
         allowed: String,
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -23,13 +23,13 @@
 /// Phase of a graceful shutdown, which determines what the gateway still does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Everything, including accepting connections.
+    /// The gateway still does everything, including accepting connections.
     Accepting,
     /// Clients are disconnected between requests; pending messages are delivered.
     Draining,
     /// No new requests are sent; those in flight may complete.
     AwaitingResponses,
-    /// Nothing: the process exits.
+    /// The gateway does nothing more: the process exits.
     Finished,
 }
 
@@ -48,7 +48,7 @@
     pub clients: usize,
 }
 
-/// A shutdown that was requested.
+/// A shutdown that was requested; its phases follow from the time of the request and the pending work.
 #[derive(Clone, Copy, Debug)]
 pub struct GracefulShutdown {
     requested_at: Time,
--- a/crates/platform/tests/platform/client_request.rs
+++ b/crates/platform/tests/platform/client_request.rs
@@ -12,7 +12,7 @@
     let names = ["notice".to_owned(), "payment".to_owned()];
     let arguments: Vec<Vec<u8>> = arguments.iter().map(|argument| argument.to_vec()).collect();
     let classes = RequestClasses { classes: &classes, names: &names };
-    match client_request::parse(Time(5), &arguments, classes, |to| to.0 < 9)? {
+    match client_request::parse(Time(5), &arguments, classes, |destination| destination.0 < 9)? {
         ClientRequest::Put(put) => Ok(*put),
         ClientRequest::Ping => panic!("expected MSG.PUT, got PING"),
     }
--- a/crates/platform/tests/platform/client_sessions.rs
+++ b/crates/platform/tests/platform/client_sessions.rs
@@ -52,7 +52,7 @@
     assert!(sessions.on_tick(at(6400)).contains(&disconnect(5, DisconnectReason::CommandTimeout)));
 }
 
-/// Guards against evicting new clients before idle ones (incident r636949, result 0.00): 211 clients kept their
+/// Guards against evicting new clients before idle ones (incident r636949, score 0.00): 211 clients kept their
 /// connections open after one request, so the newest client was the only one that had sent nothing yet. 7,483 clients
 /// were disconnected as soon as they were accepted, and their requests failed. Other clients connected up to seconds
 /// before their first request, so a connection that has sent nothing yet must not be evicted early.
--- a/crates/platform/tests/platform/requests.rs
+++ b/crates/platform/tests/platform/requests.rs
@@ -128,9 +128,9 @@
     assert_eq!((requests.take_connected(), requests.in_flight(), transport.connected.len()), (vec![], 1, 3));
 }
 
-/// Guards against requests written to reused connections that the endpoint has already closed. In a test with sockets
-/// (wide+reset+stale), 231 of 4,255 requests were written to such connections, and unsafe messages among them were
-/// lost. The reset arrived within 0.3 ms of the first bytes.
+/// Guards against requests written to reused connections that the endpoint has already closed. In the run
+/// `wide+reset+stale` on sockets, 231 of 4,255 requests were written to such connections, and unsafe messages among them
+/// were lost. The reset arrived within 0.3 ms of the first bytes.
 #[test]
 fn stale_reused_connection_is_replaced_without_a_failed_attempt() {
     let (mut requests, mut transport) = (requests(9), FakeTransport::default());
--- a/crates/resp-gateway/src/client_replies.rs
+++ b/crates/resp-gateway/src/client_replies.rs
@@ -19,7 +19,7 @@
     encode_error("ERR given up: it can't be delivered")
 }
 
-/// The reply to one command.
+/// The reply to one command, known either at once or at the end of the turn.
 pub enum Reply {
     /// An encoded reply.
     Bytes(Vec<u8>),
@@ -42,9 +42,9 @@
 
 /// A reply as it is sent to the client.
 pub struct EncodedReply {
-    /// The client's connection.
+    /// The connection to write the reply to.
     pub connection: ConnectionId,
-    /// The bytes to send.
+    /// The reply, encoded as RESP.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/resp-gateway/src/configuration.rs
+++ b/crates/resp-gateway/src/configuration.rs
@@ -16,7 +16,7 @@
     parse(&text).map_err(|error| GatewayError::Config { path: path.to_owned(), error })
 }
 
-/// The configuration file of a running gateway.
+/// The path of the configuration file, which is read again on each reload.
 pub struct ConfigurationFile {
     path: PathBuf,
 }
--- a/crates/resp-gateway/src/descriptor_limits.rs
+++ b/crates/resp-gateway/src/descriptor_limits.rs
@@ -1,7 +1,7 @@
 //! Allocation of the process's file descriptors to their uses.
 
-/// Share of the descriptors for connected clients. By the users' statement, clients hold at most a third of all
-/// descriptors for requests.
+/// Share of the descriptors for connected clients. The users of the platform state that clients need at most a third of
+/// all descriptors for their requests.
 const CLIENTS_SHARE: f64 = 0.47;
 /// Share for closed client connections, which are held for a short time, unread, until the client has closed too.
 const LINGERING_SHARE: f64 = 0.06;
--- a/crates/resp-gateway/src/error.rs
+++ b/crates/resp-gateway/src/error.rs
@@ -10,7 +10,7 @@
     /// An environment variable is not set.
     #[error("{name} is not set; it must name {expected}")]
     MissingVariable {
-        /// The name of the variable.
+        /// `ROUTER_CONFIG` or `ROUTER_STATE`.
         name: &'static str,
         /// Description of the file or directory that its value must name.
         expected: &'static str,
@@ -27,7 +27,7 @@
     /// The configuration file is invalid.
     #[error("{path}: {error}")]
     Config {
-        /// The path of the file.
+        /// The path of the configuration file, from `ROUTER_CONFIG`.
         path: PathBuf,
         /// The problem, and the values that are allowed.
         #[source]
@@ -36,7 +36,7 @@
     /// A system operation failed.
     #[error("{operation}: {error}")]
     Io {
-        /// The operation that failed.
+        /// The operation that failed, such as `listen on 127.0.0.1:6379`.
         operation: String,
         /// The error from the operating system.
         #[source]
--- a/crates/resp-gateway/src/gateway.rs
+++ b/crates/resp-gateway/src/gateway.rs
@@ -12,7 +12,7 @@
 use cloverstile_platform::ConnectionId;
 use tracing::info;
 
-/// A running gateway.
+/// A gateway that has recovered its messages and listens for clients.
 pub struct Gateway {
     pub(crate) clock: Clock,
     pub(crate) net: Net,
--- a/crates/resp-gateway/src/message_log.rs
+++ b/crates/resp-gateway/src/message_log.rs
@@ -26,7 +26,7 @@
     delay: Duration,
 }
 
-/// The log of all messages that the gateway holds.
+/// The log of all messages that the gateway holds, with the retry of a failed commit.
 pub struct MessageLog {
     log: Log<DirectoryStore>,
     /// Set while the last commit has failed.
--- a/crates/resp-gateway/src/name_table.rs
+++ b/crates/resp-gateway/src/name_table.rs
@@ -17,7 +17,8 @@
 
 /// The class of messages whose own class was removed, or made more lenient, after they were submitted. It has no name,
 /// comes after all other classes, and no client can submit messages of it. Its latency objective and deadline are the
-/// longest of all classes, so that it does not change any total over the classes.
+/// longest of all classes, so that it does not change what the policy derives from all of them, such as the shortest
+/// latency objective.
 pub fn fallback_class(classes: &[Class]) -> Class {
     let longest = |span: fn(&Class) -> Duration| classes.iter().map(span).max();
     let base = Class::default();
@@ -62,6 +63,7 @@
     };
     let is_as_strict = |index: &usize| {
         let effect = current.classes[*index].effect;
+        // Logs of an earlier version hold no effect; the class of that name is then used whatever its effect is.
         *stored_effect == UNKNOWN_INDEX || *stored_effect == effect || effect == effect_code(Effect::Unsafe)
     };
     let found = current.classes.iter().position(|class| class.name == *name);
--- a/crates/resp-gateway/src/outgoing_requests.rs
+++ b/crates/resp-gateway/src/outgoing_requests.rs
@@ -21,7 +21,7 @@
     endpoint: EndpointId,
 }
 
-/// All requests to endpoints.
+/// All requests to endpoints, with and without a connection.
 pub struct OutgoingRequests {
     /// Requests with a connection, and idle connections.
     pub requests: Requests,
@@ -141,8 +141,8 @@
     ///
     /// Conditions may have changed since the engine decided, while the connection was being established or a notification
     /// of the order key was pending: a `Retry-After`, a drain, a new address, an outage, the end of the retry window, the
-    /// deadline, or a shutdown (incident fleet day join, seed 2: a connection took 0.74 s to establish, and a `Retry-After`
-    /// of 0.67 s fell within that time).
+    /// deadline, or a shutdown. Seen in the fleet run "day join" with seed 2: a connection took 0.74 s to establish, and a
+    /// `Retry-After` of 0.67 s fell within that time.
     fn abort_if_obsolete(
         &mut self,
         now: Time,
--- a/crates/resp-gateway/src/shutdown.rs
+++ b/crates/resp-gateway/src/shutdown.rs
@@ -23,12 +23,12 @@
     ShutdownRequested {
         /// The socket on which clients connect.
         listener: ListenerId,
-        /// The shutdown that was requested.
+        /// Determines the phase from the time of the first signal.
         shutdown: GracefulShutdown,
     },
     /// Not listening any more: clients are disconnected between their requests, and messages are still delivered.
     Draining {
-        /// The shutdown that was requested.
+        /// Determines the phase from the time of the first signal.
         shutdown: GracefulShutdown,
     },
     /// Waiting for clients to read their last replies and close, and for the log to store all records.
--- a/crates/resp-gateway/src/startup.rs
+++ b/crates/resp-gateway/src/startup.rs
@@ -76,7 +76,7 @@
         let is_restart = recovered.clock.is_some() || recovered_messages > 0;
         let mut clock = Clock::new();
         if recovered.clock.is_some_and(|reference| !clock.resume(&reference)) {
-            warn!("the log was written before a reboot, the elapsed time is taken from the wall clock");
+            warn!("the log is of another boot: the wall clock tells how much time has passed since");
         }
         let now = clock.now();
         let wall_clock_ahead_ms = clock.wall_clock_ahead_ms();
