--- a/crates/as2-gateway/src/lib.rs
+++ b/crates/as2-gateway/src/lib.rs
@@ -22,4 +22,4 @@
 
 pub use directory::{load, load_config, load_identity, Directory, LoadError};
 pub use service::{serve, RunSummary, Service, ServiceError, ShutdownHandle};
-pub use zone_loss::{network, warnings};
+pub use zone_loss::{capacity_network, capacity_warnings};
--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -27,10 +27,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     /// An operation of the system failed.
-    #[error("{what}: {error}")]
+    #[error("{operation}: {error}")]
     Io {
         /// The operation.
-        what: String,
+        operation: String,
         /// The system's error.
         error: io::Error,
     },
@@ -39,9 +39,9 @@
     Load(#[from] LoadError),
 }
 
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> ServiceError {
-    let what = what.into();
-    move |error| ServiceError::Io { what, error }
+fn io_error(operation: impl Into<String>) -> impl FnOnce(io::Error) -> ServiceError {
+    let operation = operation.into();
+    move |error| ServiceError::Io { operation, error }
 }
 
 /// Figures of a completed run.
--- a/crates/as2-gateway/src/zone_loss.rs
+++ b/crates/as2-gateway/src/zone_loss.rs
@@ -6,7 +6,7 @@
 use cloverstile_settings::{Config, Partner};
 
 /// Zones and demand by the settings; partners without `wanted` are left out.
-pub fn network(config: &Config) -> Network {
+pub fn capacity_network(config: &Config) -> Network {
     let zones = config.zones.iter().zip(&config.zone_rates);
     let zones = zones.map(|(name, rate)| Zone { name: name.clone(), capacity: *rate }).collect();
     Network { zones, partners: config.partners.iter().filter_map(demand).collect() }
@@ -36,8 +36,8 @@
 ///
 /// # Errors
 /// Figures that the capacity planning rejects.
-pub fn warnings(config: &Config) -> Result<Vec<String>, PlanError> {
-    let network = network(config);
+pub fn capacity_warnings(config: &Config) -> Result<Vec<String>, PlanError> {
+    let network = capacity_network(config);
     if network.partners.is_empty() {
         return Ok(Vec::new());
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::exit_status::ExitStatus;
 use clap::Args;
-use cloverstile_as2_gateway::{load, warnings, LoadError};
+use cloverstile_as2_gateway::{capacity_warnings, load, LoadError};
 use cloverstile_settings::Config;
 use std::path::PathBuf;
 
@@ -32,7 +32,7 @@
     }
 
     fn print_summary(&self, config: &Config) {
-        let warnings = warnings(config).unwrap_or_else(|error| vec![error.to_string()]);
+        let warnings = capacity_warnings(config).unwrap_or_else(|error| vec![error.to_string()]);
         let endpoints: usize = config.partners.iter().map(|partner| partner.endpoints.len()).sum();
         if self.json {
             let summary = serde_json::json!({
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::exit_status::ExitStatus;
 use clap::Args;
-use cloverstile_as2_gateway::{load_config, network};
+use cloverstile_as2_gateway::{capacity_network, load_config};
 use cloverstile_capacity_planning::{plan_outages, Bottleneck, OutageReport};
 use comfy_table::{presets::UTF8_BORDERS_ONLY, Table};
 use std::path::PathBuf;
@@ -65,7 +65,7 @@
             })?;
             partner.peak_demand = Some(*rate);
         }
-        let network = network(&config);
+        let network = capacity_network(&config);
         if network.partners.is_empty() {
             let file = self.file.display();
             return Err(format!(
