--- a/crates/as2-gateway/src/admission.rs
+++ b/crates/as2-gateway/src/admission.rs
@@ -4,7 +4,7 @@
 //! first, then those of the HTTP message, as many products can set only these.
 
 use cloverstile::{ClassId, DestinationId, OrderKey, TenantId, Time};
-use cloverstile_as2::{Opened, ReceiptRequest};
+use cloverstile_as2::{OpenedMessage, ReceiptRequest};
 use cloverstile_engine::SubmitRequest;
 use cloverstile_http::Headers;
 use cloverstile_settings::{Client, Config};
@@ -54,7 +54,7 @@
     client: usize,
     message_id: &str,
     http: &Headers,
-    opened: &Opened,
+    opened: &OpenedMessage,
     receipt: Option<&ReceiptRequest>,
 ) -> Result<SubmitRequest, RejectionReason> {
     let sender = &config.clients[client];
@@ -102,7 +102,7 @@
 
 fn check_security(
     sender: &Client,
-    opened: &Opened,
+    opened: &OpenedMessage,
     receipt: Option<&ReceiptRequest>,
 ) -> Result<(), RejectionReason> {
     let signed = opened.signed.is_some_and(|digest| sender.sha1 || digest != cloverstile_as2::Digest::Sha1);
--- a/crates/as2-gateway/src/as2_server.rs
+++ b/crates/as2-gateway/src/as2_server.rs
@@ -11,7 +11,7 @@
 use crate::in_flight_message::ReceiptWaiter;
 use crate::response_mapping::HttpStatus;
 use crate::worker_result::{OpenedSubmission, SignedRejection};
-use cloverstile_as2::{As2Error, Composed, Receipt};
+use cloverstile_as2::{As2Error, ComposedMessage, Receipt};
 use cloverstile_engine::FinalOutcome;
 use cloverstile_http::{Headers, Message, StartLine};
 use cloverstile_net::{ConnId, Net};
@@ -165,7 +165,7 @@
         context: &mut Context,
         waiter: ReceiptWaiter,
         outcome: FinalOutcome,
-        receipt: Result<Box<Composed>, As2Error>,
+        receipt: Result<Box<ComposedMessage>, As2Error>,
     ) {
         self.pending_jobs -= 1;
         let response = receipts::final_response(&waiter.envelope, outcome, receipt);
--- a/crates/as2-gateway/src/as2_server/partner_receipts.rs
+++ b/crates/as2-gateway/src/as2_server/partner_receipts.rs
@@ -7,7 +7,7 @@
 use crate::response_mapping::{outcome_of_receipt, HttpStatus};
 use crate::worker_result::WorkerResult;
 use cloverstile::MessageId;
-use cloverstile_as2::{read_receipt, sender, As2Error, Composed, Receipt};
+use cloverstile_as2::{read_receipt, sender, As2Error, ComposedMessage, Receipt};
 use cloverstile_http::Message;
 use std::sync::Arc;
 use tracing::warn;
@@ -52,7 +52,11 @@
 }
 
 /// The composed message that a receipt is for: only its own partner can confirm it.
-fn find_message(context: &Context, partner: usize, receipt: &Receipt) -> Option<(MessageId, Arc<Composed>)> {
+fn find_message(
+    context: &Context,
+    partner: usize,
+    receipt: &Receipt,
+) -> Option<(MessageId, Arc<ComposedMessage>)> {
     let id = context.engine.message_id(&receipt.original_id)?;
     let in_flight = context.messages.get(&id).filter(|in_flight| in_flight.partner == partner)?;
     Some((id, in_flight.composed.clone()?))
--- a/crates/as2-gateway/src/as2_server/receipts.rs
+++ b/crates/as2-gateway/src/as2_server/receipts.rs
@@ -7,7 +7,7 @@
 use crate::response_mapping::{client_response, HttpStatus};
 use crate::worker_result::{SignedRejection, WorkerResult};
 use cloverstile_as2::{
-    compose_receipt, As2Error, Composed, Digest, Disposition, Envelope, ReceiptFacts, ReceiptRequest,
+    compose_receipt, As2Error, ComposedMessage, Digest, Disposition, Envelope, ReceiptContent, ReceiptRequest,
 };
 use cloverstile_engine::FinalOutcome;
 use cloverstile_http::Headers;
@@ -52,14 +52,14 @@
 ) {
     let identity = context.directory.own_identity.clone();
     context.crypto_pool.submit(move || {
-        let facts = ReceiptFacts {
+        let facts = ReceiptContent {
             receipt_id: &format!("receipt.{}", envelope.message_id),
             to: &envelope.from,
             original_id: &envelope.message_id,
             disposition: Disposition::Error(rejection.disposition.to_owned()),
             mic: None,
             text: &rejection.reason,
-            answer: None,
+            final_outcome: None,
         };
         let composed = compose_receipt(&facts, &identity, signature_digest(&receipt.signed));
         WorkerResult::RejectionSigned(SignedRejection {
@@ -75,7 +75,7 @@
 pub(crate) fn rejection_response(
     status: HttpStatus,
     reason: &str,
-    receipt: Option<Box<Composed>>,
+    receipt: Option<Box<ComposedMessage>>,
 ) -> HttpResponse {
     let mut headers = Headers::new().with("Cloverstile-Answer", "rejected");
     if let Some(receipt) = receipt {
@@ -91,14 +91,14 @@
     let identity = context.directory.own_identity.clone();
     context.crypto_pool.submit(move || {
         let response = client_response(outcome);
-        let facts = ReceiptFacts {
+        let facts = ReceiptContent {
             receipt_id: &format!("receipt.{}", waiter.envelope.message_id),
             to: &waiter.envelope.from,
             original_id: &waiter.envelope.message_id,
             disposition: response.disposition,
             mic: Some(&waiter.mic),
             text: response.text,
-            answer: Some(response.outcome),
+            final_outcome: Some(response.outcome),
         };
         let receipt = match waiter.envelope.receipt.as_ref() {
             Some(wanted) => {
@@ -114,7 +114,7 @@
 pub(crate) fn final_response(
     envelope: &Envelope,
     outcome: FinalOutcome,
-    receipt: Result<Box<Composed>, As2Error>,
+    receipt: Result<Box<ComposedMessage>, As2Error>,
 ) -> HttpResponse {
     let response = client_response(outcome);
     let mut headers = Headers::new().with("Cloverstile-Answer", response.outcome.name());
--- a/crates/as2-gateway/src/as2_server/submissions.rs
+++ b/crates/as2-gateway/src/as2_server/submissions.rs
@@ -9,7 +9,7 @@
 use crate::response_mapping::HttpStatus;
 use crate::worker_result::{OpenedSubmission, WorkerResult};
 use cloverstile::MessageId;
-use cloverstile_as2::{open, Envelope, Opened};
+use cloverstile_as2::{open, Envelope, OpenedMessage};
 use cloverstile_engine::{Admission, FinalOutcome, SubmitRequest};
 use cloverstile_http::{Headers, Message};
 
@@ -41,7 +41,7 @@
     request: RequestId,
     message: Message,
 ) -> Result<(), Rejection> {
-    let envelope = Envelope::read(&message.headers)
+    let envelope = Envelope::parse(&message.headers)
         .map_err(|error| Rejection::without_receipt(HttpStatus::BAD_REQUEST, error.to_string()))?;
     let client = context.config.clients.iter().position(|client| client.as2_name == envelope.from);
     let client = client.ok_or_else(|| unknown_sender(&envelope.from))?;
@@ -109,7 +109,7 @@
     context: &mut Context,
     request: RequestId,
     envelope: Envelope,
-    opened: Opened,
+    opened: OpenedMessage,
     submit_request: SubmitRequest,
 ) -> NextStep {
     let partner = usize::from(submit_request.destination.0);
--- a/crates/as2-gateway/src/in_flight_message.rs
+++ b/crates/as2-gateway/src/in_flight_message.rs
@@ -1,7 +1,7 @@
 //! Messages that the gateway holds, and the clients that wait for their final outcome.
 
 use crate::identifiers::RequestId;
-use cloverstile_as2::{Composed, Envelope, Mic, Part};
+use cloverstile_as2::{ComposedMessage, Envelope, Mic, Part};
 use cloverstile_http::Headers;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
     /// Content to be delivered; none once its composition has begun.
     pub payload: Option<Part>,
     /// The message as it is sent to the partner; none until it is composed.
-    pub composed: Option<Arc<Composed>>,
+    pub composed: Option<Arc<ComposedMessage>>,
     /// Whether composition has begun.
     pub composing: bool,
     /// Clients to notify of the final outcome.
@@ -38,7 +38,7 @@
         self.payload = None;
         if let Some(composed) = self.composed.take() {
             let (headers, body, mic) = (Headers::new(), Vec::new(), composed.mic.clone());
-            self.composed = Some(Arc::new(Composed { headers, body, mic }));
+            self.composed = Some(Arc::new(ComposedMessage { headers, body, mic }));
         }
         std::mem::take(&mut self.waiters)
     }
--- a/crates/as2-gateway/src/outbound_client.rs
+++ b/crates/as2-gateway/src/outbound_client.rs
@@ -10,7 +10,7 @@
 use crate::worker_result::{VerifiedResponse, WorkerResult};
 use batch::{AttemptStage, Batch, BatchConnection};
 use cloverstile::{EndpointId, MessageId, RateLimitStatus, Time};
-use cloverstile_as2::{compose, read_receipt, Addressee, As2Error, Composed, Outgoing};
+use cloverstile_as2::{compose, read_receipt, As2Error, ComposedMessage, OutgoingMessage, Recipient};
 use cloverstile_engine::{Attempt, TransportOutcome};
 use cloverstile_http::{encode_request, DecodedItem, Message, StartLine};
 use cloverstile_net::ConnId;
@@ -76,7 +76,7 @@
         &mut self,
         context: &mut Context,
         message: MessageId,
-        composed: Result<Box<Composed>, As2Error>,
+        composed: Result<Box<ComposedMessage>, As2Error>,
     ) {
         let batch = self.composing.remove(&message);
         match composed {
@@ -388,8 +388,8 @@
     let certificate = context.directory.partners[in_flight.partner].clone();
     let (identity, addressee_name) = (context.directory.own_identity.clone(), partner.as2_name.clone());
     context.crypto_pool.submit(move || {
-        let outgoing = Outgoing { message_id: &message_id, payload: &payload, subject: None };
-        let addressee = Addressee { name: &addressee_name, certificate: &certificate };
+        let outgoing = OutgoingMessage { message_id: &message_id, payload: &payload, subject: None };
+        let addressee = Recipient { name: &addressee_name, certificate: &certificate };
         let composed = compose(&outgoing, &identity, addressee, &security).map(Box::new);
         WorkerResult::MessageComposed { message, composed }
     });
--- a/crates/as2-gateway/src/response_mapping.rs
+++ b/crates/as2-gateway/src/response_mapping.rs
@@ -138,7 +138,7 @@
         },
         FinalOutcome::Rejected(retry_delay) => ClientResponse {
             status: HttpStatus::SERVICE_UNAVAILABLE,
-            outcome: Outcome::Refused,
+            outcome: Outcome::Rejected,
             disposition: Disposition::Error("refused".into()),
             text: "The message was not delivered and had no effect. Handing it in again is safe.",
             retry_after: Some(retry_delay.as_secs_f64().ceil().max(1.0) as u64),
--- a/crates/as2-gateway/src/test_cluster.rs
+++ b/crates/as2-gateway/src/test_cluster.rs
@@ -6,7 +6,7 @@
 
 use crate::directory::LoadError;
 use crate::service::ServiceError;
-use cloverstile_as2::{new_station, As2Error, Certificate, Identity, NewKey};
+use cloverstile_as2::{generate_identity, As2Error, Certificate, Identity, NewKey};
 use cloverstile_fakes::client::GatewaySet;
 use cloverstile_fakes::partner::{FakePartner, Partners};
 use cloverstile_fakes::record::Recorder;
@@ -65,7 +65,7 @@
 
 /// Makes a station and writes its key and certificate as `NAME.key` and `NAME.crt`.
 fn make_station(folder: &Path, name: &str, key: NewKey) -> Result<Identity, TestClusterError> {
-    let (key_pem, certificate) = new_station(name, key, (2020, 1, 1), (2120, 1, 1))?;
+    let (key_pem, certificate) = generate_identity(name, key, (2020, 1, 1), (2120, 1, 1))?;
     write_private(&folder.join(format!("{name}.key")), &key_pem)?;
     fs::write(folder.join(format!("{name}.crt")), &certificate)?;
     Ok(Identity::from_pem(name, &key_pem, &certificate)?)
--- a/crates/as2-gateway/src/worker_result.rs
+++ b/crates/as2-gateway/src/worker_result.rs
@@ -4,7 +4,7 @@
 use crate::in_flight_message::ReceiptWaiter;
 use crate::response_mapping::HttpStatus;
 use cloverstile::MessageId;
-use cloverstile_as2::{As2Error, Composed, Envelope, Opened, Receipt};
+use cloverstile_as2::{As2Error, ComposedMessage, Envelope, OpenedMessage, Receipt};
 use cloverstile_engine::{Attempt, FinalOutcome, TransportOutcome};
 use cloverstile_http::Headers;
 
@@ -16,7 +16,7 @@
     pub envelope: Box<Envelope>,
     /// Fields of the HTTP message.
     pub http_headers: Headers,
-    pub opened: Result<Box<Opened>, As2Error>,
+    pub opened: Result<Box<OpenedMessage>, As2Error>,
 }
 
 /// The verified meaning of a partner's response to an attempt.
@@ -35,7 +35,7 @@
     /// Explanation for people.
     pub reason: String,
     /// None where it could not be composed.
-    pub receipt: Option<Box<Composed>>,
+    pub receipt: Option<Box<ComposedMessage>>,
 }
 
 /// What a job on a worker thread returns.
@@ -43,7 +43,7 @@
     /// A client's submission was opened, or could not be.
     SubmissionOpened(OpenedSubmission),
     /// A message for a partner was composed.
-    MessageComposed { message: MessageId, composed: Result<Box<Composed>, As2Error> },
+    MessageComposed { message: MessageId, composed: Result<Box<ComposedMessage>, As2Error> },
     /// The receipt in a partner's response was verified.
     ResponseVerified(VerifiedResponse),
     /// A partner's asynchronous receipt was read; `partner` is its index in the settings.
@@ -52,7 +52,7 @@
     FinalReceiptSigned {
         waiter: Box<ReceiptWaiter>,
         outcome: FinalOutcome,
-        receipt: Result<Box<Composed>, As2Error>,
+        receipt: Result<Box<ComposedMessage>, As2Error>,
     },
     /// A receipt that rejects a submission was signed.
     RejectionSigned(SignedRejection),
--- a/crates/as2-gateway/tests/admission.rs
+++ b/crates/as2-gateway/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of submissions: each reason to reject one, and where its fields are read.
 
 use cloverstile::{OrderKey, Time};
-use cloverstile_as2::{Digest, Mic, Opened, Part, ReceiptRequest};
+use cloverstile_as2::{Digest, Mic, OpenedMessage, Part, ReceiptRequest};
 use cloverstile_as2_gateway::admission::{admit, RejectionReason};
 use cloverstile_engine::SubmitRequest;
 use cloverstile_http::Headers;
@@ -44,17 +44,21 @@
     parse("test.hcl", SETTINGS).unwrap_or_else(|problems| panic!("{problems}"))
 }
 
-fn opened(signed: Option<Digest>, fields: &[(&str, &str)]) -> Opened {
+fn opened(signed: Option<Digest>, fields: &[(&str, &str)]) -> OpenedMessage {
     let mut headers = Headers::new();
     fields.iter().for_each(|(name, value)| {
         headers.add(name, *value);
     });
     let mic = Mic { value: vec![1], digest: Digest::Sha256 };
     let payload = Part { headers, body: b"salary".to_vec() };
-    Opened { payload, mic, signed, encrypted: false, compressed: false }
+    OpenedMessage { payload, mic, signed, encrypted: false, compressed: false }
 }
 
-fn admitted(client: usize, opened: &Opened, http: &[(&str, &str)]) -> Result<SubmitRequest, RejectionReason> {
+fn admitted(
+    client: usize,
+    opened: &OpenedMessage,
+    http: &[(&str, &str)],
+) -> Result<SubmitRequest, RejectionReason> {
     let mut headers = Headers::new();
     http.iter().for_each(|(name, value)| {
         headers.add(name, *value);
@@ -119,7 +123,7 @@
     let ask = |client: usize, url: &str| {
         let receipt = ReceiptRequest { deliver_to: Some(url.into()), signed: vec![Digest::Sha256] };
         let headers = GOOD.iter().fold(Headers::new(), |all, (name, value)| all.with(name, *value));
-        let opened = Opened { encrypted: true, ..opened(Some(Digest::Sha256), &[]) };
+        let opened = OpenedMessage { encrypted: true, ..opened(Some(Digest::Sha256), &[]) };
         admit(Time(5), &config(), client, "m1", &headers, &opened, Some(&receipt)).map(|_| ())
     };
     assert_eq!(ask(0, "http://127.0.0.1:9000/receipts"), Ok(()));
--- a/crates/as2/src/algorithm.rs
+++ b/crates/as2/src/algorithm.rs
@@ -36,7 +36,7 @@
     }
 
     /// Parses a name in any spelling in use, such as `sha1`, `SHA-256` or `sha256`; none if unknown.
-    pub fn read(name: &str) -> Option<Digest> {
+    pub fn parse(name: &str) -> Option<Digest> {
         match name.trim().to_ascii_lowercase().replace(['-', '_'], "").as_str() {
             "sha1" | "rsasha1" => Some(Digest::Sha1),
             "sha256" | "rsasha256" => Some(Digest::Sha256),
--- a/crates/as2/src/ber.rs
+++ b/crates/as2/src/ber.rs
@@ -84,7 +84,7 @@
     before: &[u8],
 ) -> Result<&'a [u8], As2Error> {
     if depth > MAX_DEPTH {
-        return Err(As2Error::Bound("nesting of values", MAX_DEPTH));
+        return Err(As2Error::LimitExceeded("nesting of values", MAX_DEPTH));
     }
     let Head { tag, length, rest } = head(input)?;
     let constructed = tag[0] & 0x20 != 0;
--- a/crates/as2/src/ber/tests.rs
+++ b/crates/as2/src/ber/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn unbounded_nesting_and_truncated_values_are_errors() {
-    assert!(matches!(to_der(&[0x30, 0x80].repeat(100)), Err(As2Error::Bound(..))));
+    assert!(matches!(to_der(&[0x30, 0x80].repeat(100)), Err(As2Error::LimitExceeded(..))));
     assert!(to_der(&[0x30, 0x05, 0x04]).is_err());
     assert!(to_der(&[0x04, 0x88, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err());
     assert!(to_der(&[0x1f, 0xff]).is_err());
--- a/crates/as2/src/error.rs
+++ b/crates/as2/src/error.rs
@@ -16,7 +16,7 @@
     Cms(&'static str, String),
     /// Over a bound; holds what is bounded and the greatest allowed value.
     #[error("{0} is over the bound of {1}")]
-    Bound(&'static str, usize),
+    LimitExceeded(&'static str, usize),
     /// An algorithm that is not supported or not permitted by the settings.
     #[error("{0} is not supported or not permitted: {1}")]
     Algorithm(&'static str, String),
@@ -34,7 +34,7 @@
     Unprotected(&'static str),
     /// A receipt for another message.
     #[error("the receipt is for {0}, not for what was sent")]
-    OtherReceipt(String),
+    ReceiptMismatch(String),
     /// A key or certificate that can't be used.
     #[error("{0}: {1}")]
     Key(&'static str, String),
--- a/crates/as2/src/issue.rs
+++ b/crates/as2/src/issue.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// If the library can't generate the key or the certificate.
-pub fn new_station(
+pub fn generate_identity(
     name: &str,
     key: NewKey,
     from: (i32, u8, u8),
--- a/crates/as2/src/lib.rs
+++ b/crates/as2/src/lib.rs
@@ -26,11 +26,11 @@
 
 pub use algorithm::{Cipher, Digest};
 pub use error::As2Error;
-pub use issue::{new_station, NewKey};
+pub use issue::{generate_identity, NewKey};
 pub use keys::{Certificate, Identity};
 pub use message::{
-    compose, open, sender, unquote_name, Addressee, Composed, Envelope, Mic, Opened, Outgoing,
-    ReceiptRequest, Security,
+    compose, open, sender, unquote_name, ComposedMessage, Envelope, Mic, OpenedMessage, OutgoingMessage,
+    ReceiptRequest, Recipient, Security,
 };
-pub use mime::{Part, BOUNDS};
-pub use receipt::{compose_receipt, read_receipt, Disposition, Outcome, Receipt, ReceiptFacts};
+pub use mime::{Part, LIMITS};
+pub use receipt::{compose_receipt, read_receipt, Disposition, Outcome, Receipt, ReceiptContent};
--- a/crates/as2/src/message.rs
+++ b/crates/as2/src/message.rs
@@ -1,6 +1,6 @@
 //! AS2 messages: composing and opening them, and the HTTP header fields they use (RFC 4130, sections 2 to 6).
 
-use crate::mime::{canonical_lines, ContentType, Part, BOUNDS};
+use crate::mime::{canonical_lines, ContentType, Part, LIMITS};
 use crate::mime::{from_base64, split_multipart, split_outside_quotes, to_base64, to_base64_lines, unquote};
 use crate::secure::{self, Wrapping};
 use crate::{As2Error, Certificate, Cipher, Digest, Identity};
@@ -17,14 +17,14 @@
 
 impl Mic {
     /// The value of `Received-Content-MIC`.
-    pub fn write(&self) -> String {
+    pub fn to_header_value(&self) -> String {
         format!("{}, {}", to_base64(&self.value), self.digest.name())
     }
 
     /// Parses a `Received-Content-MIC` value; none if malformed.
-    pub fn read(text: &str) -> Option<Mic> {
+    pub fn parse(text: &str) -> Option<Mic> {
         let (value, digest) = text.rsplit_once(',')?;
-        Some(Mic { value: from_base64(value.as_bytes()).ok()?, digest: Digest::read(digest)? })
+        Some(Mic { value: from_base64(value.as_bytes()).ok()?, digest: Digest::parse(digest)? })
     }
 }
 
@@ -64,7 +64,7 @@
 
 /// The receiver of a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Addressee<'a> {
+pub struct Recipient<'a> {
     /// AS2 name, without quotes.
     pub name: &'a str,
     /// Its certificate.
@@ -73,7 +73,7 @@
 
 /// A message to be sent.
 #[derive(Clone, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingMessage<'a> {
     /// `Message-ID` without angle brackets. It is the idempotency key and the same in all attempts.
     pub message_id: &'a str,
     /// The payload: header fields (at least `Content-Type`) and bytes without transfer encoding.
@@ -84,7 +84,7 @@
 
 /// A message or receipt ready to be sent by HTTP.
 #[derive(Clone, Debug)]
-pub struct Composed {
+pub struct ComposedMessage {
     /// HTTP header fields, without those of the connection.
     pub headers: Headers,
     /// Its body.
@@ -168,11 +168,11 @@
 /// # Errors
 /// If a certificate or key does not support the requested protection.
 pub fn compose(
-    message: &Outgoing,
+    message: &OutgoingMessage,
     from: &Identity,
-    to: Addressee,
+    to: Recipient,
     security: &Security,
-) -> Result<Composed, As2Error> {
+) -> Result<ComposedMessage, As2Error> {
     // The receipt's integrity check is by the digest asked for first, as `open` has it.
     let asked = security.receipt.as_ref().and_then(|request| request.signed.first().copied());
     let digest = asked.or(security.sign).unwrap_or(Digest::Sha256);
@@ -182,17 +182,17 @@
     }
     // RFC 4130, section 7.3.1: without a signature or encryption the fields don't count, else they do.
     let bare = security.sign.is_none() && security.encrypt.is_none() && !security.compress;
-    let mut covered = if bare { part.body.clone() } else { part.write() };
+    let mut covered = if bare { part.body.clone() } else { part.to_bytes() };
     if security.compress {
-        part = wrapped("compressed-data", secure::compress(&part.write())?);
+        part = wrapped("compressed-data", secure::compress(&part.to_bytes())?);
         // What is signed counts; it is the compressed part then (RFC 5402, section 4).
-        covered = if security.sign.is_some() { part.write() } else { covered };
+        covered = if security.sign.is_some() { part.to_bytes() } else { covered };
     }
     if let Some(digest) = security.sign {
-        part = signed_part(&part.write(), from, digest)?;
+        part = signed_part(&part.to_bytes(), from, digest)?;
     }
     if let Some(cipher) = security.encrypt {
-        part = wrapped("enveloped-data", secure::encrypt(&part.write(), to.certificate, cipher)?);
+        part = wrapped("enveloped-data", secure::encrypt(&part.to_bytes(), to.certificate, cipher)?);
         if matches!(cipher, Cipher::Aes128Gcm | Cipher::Aes256Gcm) {
             part.headers = wrapped("authEnveloped-data", Vec::new()).headers;
         }
@@ -221,7 +221,7 @@
         }
     }
     headers.extend(&part.headers);
-    Ok(Composed { headers, body: part.body, mic: Mic { value: digest.of(&covered), digest } })
+    Ok(ComposedMessage { headers, body: part.body, mic: Mic { value: digest.of(&covered), digest } })
 }
 
 /// A message's HTTP header fields, readable without opening the content, so that a message that can't be opened still
@@ -244,13 +244,13 @@
     /// # Errors
     ///
     /// If one is missing, or `Message-ID` is empty or too long.
-    pub fn read(headers: &Headers) -> Result<Envelope, As2Error> {
+    pub fn parse(headers: &Headers) -> Result<Envelope, As2Error> {
         let name = |field: &'static str| headers.get(field).map(unquote_name).ok_or(As2Error::Missing(field));
         let (from, to) = (name("AS2-From")?, name("AS2-To")?);
         let message_id = headers.get("message-id").ok_or(As2Error::Missing("Message-ID"))?;
         let message_id = message_id.trim().trim_start_matches('<').trim_end_matches('>').to_owned();
         if message_id.is_empty() || message_id.len() > 255 {
-            return Err(As2Error::Bound("Message-ID length (1 at least)", 255));
+            return Err(As2Error::LimitExceeded("Message-ID length (1 at least)", 255));
         }
         Ok(Envelope { from, to, message_id, receipt: read_request(headers) })
     }
@@ -262,7 +262,7 @@
     let signed = split_outside_quotes(options, ';').iter().find_map(|option| {
         let (key, value) = option.split_once('=')?;
         let digests =
-            || value.split(',').skip(1).filter_map(|name| Digest::read(&unquote(name.trim()))).collect();
+            || value.split(',').skip(1).filter_map(|name| Digest::parse(&unquote(name.trim()))).collect();
         key.trim().eq_ignore_ascii_case("signed-receipt-micalg").then(digests)
     });
     let deliver_to = headers.get("receipt-delivery-option").map(str::to_owned).filter(|url| !url.is_empty());
@@ -271,7 +271,7 @@
 
 /// An opened message.
 #[derive(Clone, Debug)]
-pub struct Opened {
+pub struct OpenedMessage {
     /// The payload without transfer encoding.
     pub payload: Part,
     /// Integrity check to return in the receipt.
@@ -296,10 +296,10 @@
     identity: &Identity,
     from: &Certificate,
     receipt: Option<&ReceiptRequest>,
-) -> Result<Opened, As2Error> {
+) -> Result<OpenedMessage, As2Error> {
     let mut part = Part { headers: content_fields(headers), body: body.to_vec() };
     let mut opened = Opening { covered: None, signed: None, encrypted: false, compressed: false };
-    for _ in 0..BOUNDS.depth {
+    for _ in 0..LIMITS.layers {
         match opened.unwrap(&part, identity, from) {
             Ok(Some(inner)) => part = inner,
             Ok(None) => return opened.finish(&part, receipt),
@@ -311,7 +311,7 @@
             Err(error) => return Err(error),
         }
     }
-    Err(As2Error::Bound("wrappings in one another", BOUNDS.depth))
+    Err(As2Error::LimitExceeded("wrappings in one another", LIMITS.layers))
 }
 
 fn content_fields(headers: &Headers) -> Headers {
@@ -372,7 +372,7 @@
                         inner
                     }
                 };
-                Part::read(&inner).map(Some)
+                Part::parse(&inner).map(Some)
             }
             _ => Ok(None),
         }
@@ -397,17 +397,17 @@
         let [content, signature] = parts[..] else {
             return Err(As2Error::Mime("multipart/signed needs two parts"));
         };
-        let signature = Part::read(signature)?.decoded()?;
+        let signature = Part::parse(signature)?.decoded()?;
         // Some products sign lines with CRLF but send them with LF alone.
         let (digest, content) = match secure::verify(&signature, Some(content), from) {
             Err(As2Error::Digest) => secure::verify(&signature, Some(&canonical_lines(content)), from)?,
             other => other?,
         };
         self.record_signature(digest, &content);
-        Part::read(&content)
+        Part::parse(&content)
     }
 
-    fn finish(self, part: &Part, receipt: Option<&ReceiptRequest>) -> Result<Opened, As2Error> {
+    fn finish(self, part: &Part, receipt: Option<&ReceiptRequest>) -> Result<OpenedMessage, As2Error> {
         let body = part.decoded()?;
         let requested = receipt.and_then(|request| request.signed.first().copied());
         let digest = requested.or(self.signed).unwrap_or(Digest::Sha256);
@@ -418,7 +418,7 @@
                 headers.add(name, value);
             }
         }
-        Ok(Opened {
+        Ok(OpenedMessage {
             payload: Part { headers, body },
             mic,
             signed: self.signed,
--- a/crates/as2/src/mime.rs
+++ b/crates/as2/src/mime.rs
@@ -5,19 +5,20 @@
 use cloverstile_http::Headers;
 
 /// What one entity may make us hold.
-pub struct Bounds {
+pub struct Limits {
     /// Bytes of a part's header fields.
-    pub head: usize,
+    pub header_bytes: usize,
     /// Wrappings (signed, encrypted, compressed) in one another.
-    pub depth: usize,
+    pub layers: usize,
     /// Parts of one multipart.
     pub parts: usize,
     /// Bytes that a compressed part may unpack to.
-    pub unpacked: usize,
+    pub decompressed_bytes: usize,
 }
 
 /// The bounds in force.
-pub const BOUNDS: Bounds = Bounds { head: 16 << 10, depth: 8, parts: 16, unpacked: 64 << 20 };
+pub const LIMITS: Limits =
+    Limits { header_bytes: 16 << 10, layers: 8, parts: 16, decompressed_bytes: 64 << 20 };
 
 /// An entity: its fields and its body, transfer encoding still on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,19 +35,19 @@
     /// # Errors
     ///
     /// If the header is malformed or goes over a bound.
-    pub fn read(bytes: &[u8]) -> Result<Part, As2Error> {
+    pub fn parse(bytes: &[u8]) -> Result<Part, As2Error> {
         let mut headers = Headers::new();
         let mut field: Option<(String, String)> = None;
         let mut at = 0;
         loop {
-            let Some(length) = bytes[at..].iter().take(BOUNDS.head).position(|b| *b == b'\n') else {
+            let Some(length) = bytes[at..].iter().take(LIMITS.header_bytes).position(|b| *b == b'\n') else {
                 return Err(As2Error::Mime("a part's fields do not end"));
             };
             let line = &bytes[at..at + length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             at += length + 1;
-            if at > BOUNDS.head {
-                return Err(As2Error::Bound("bytes of a part's fields", BOUNDS.head));
+            if at > LIMITS.header_bytes {
+                return Err(As2Error::LimitExceeded("bytes of a part's fields", LIMITS.header_bytes));
             }
             let text = String::from_utf8_lossy(line);
             if line.first().is_some_and(|b| matches!(b, b' ' | b'\t')) {
@@ -69,7 +70,7 @@
     }
 
     /// The entity as bytes, lines ending in CRLF.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 256);
         for (name, value) in self.headers.iter() {
             out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -90,7 +91,7 @@
 
     /// Its content type; text/plain where none is given (RFC 2045, section 5.2).
     pub fn content_type(&self) -> ContentType {
-        ContentType::read(self.headers.get("content-type").unwrap_or("text/plain"))
+        ContentType::parse(self.headers.get("content-type").unwrap_or("text/plain"))
     }
 }
 
@@ -158,7 +159,7 @@
 
 impl ContentType {
     /// Reads a value with its parameters; quotes come off, comments are not expected here.
-    pub fn read(value: &str) -> ContentType {
+    pub fn parse(value: &str) -> ContentType {
         let mut pieces = split_outside_quotes(value, ';').into_iter();
         let name = pieces.next().unwrap_or_default().trim().to_ascii_lowercase();
         let parameters = pieces
@@ -233,8 +234,8 @@
             if closing {
                 return Ok(parts);
             }
-            if parts.len() >= BOUNDS.parts {
-                return Err(As2Error::Bound("parts of a multipart", BOUNDS.parts));
+            if parts.len() >= LIMITS.parts {
+                return Err(As2Error::LimitExceeded("parts of a multipart", LIMITS.parts));
             }
             start = Some((end + 1).min(body.len()));
         }
--- a/crates/as2/src/receipt.rs
+++ b/crates/as2/src/receipt.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{boundary, quote_name, signed_part};
 use crate::mime::{split_multipart, ContentType, Part};
-use crate::{secure, As2Error, Certificate, Composed, Digest, Identity, Mic};
+use crate::{secure, As2Error, Certificate, ComposedMessage, Digest, Identity, Mic};
 use cloverstile_http::Headers;
 
 /// The result of a message in a receipt.
@@ -19,7 +19,7 @@
 }
 
 impl Disposition {
-    fn write(&self) -> String {
+    fn to_field_value(&self) -> String {
         let disposition = match self {
             Disposition::Processed => "processed".to_owned(),
             Disposition::Warning(text) => format!("processed/warning: {text}"),
@@ -30,7 +30,7 @@
     }
 
     /// Parses the value of `Disposition`, in any case and spacing; none if unknown.
-    fn read(value: &str) -> Option<Disposition> {
+    fn parse(value: &str) -> Option<Disposition> {
         let disposition = value.split_once(';').map_or(value, |(_, rest)| rest).trim();
         let (kind, modifier) = disposition.split_once('/').unwrap_or((disposition, ""));
         let (modifier, text) = modifier.split_once(':').unwrap_or((modifier, ""));
@@ -52,7 +52,7 @@
     /// Delivered: the partner's own receipt confirms it.
     Delivered,
     /// Rejected: it never took effect, so resubmission is safe.
-    Refused,
+    Rejected,
     /// Failed: it may have taken effect.
     Failed,
 }
@@ -62,20 +62,20 @@
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Delivered => "delivered",
-            Outcome::Refused => "refused",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
         }
     }
 
     /// Parses the value of the field; none if unknown.
-    pub fn read(word: &str) -> Option<Outcome> {
-        [Outcome::Delivered, Outcome::Refused, Outcome::Failed].into_iter().find(|o| o.name() == word.trim())
+    pub fn parse(word: &str) -> Option<Outcome> {
+        [Outcome::Delivered, Outcome::Rejected, Outcome::Failed].into_iter().find(|o| o.name() == word.trim())
     }
 }
 
 /// The content of a receipt to compose.
 #[derive(Clone, Debug)]
-pub struct ReceiptFacts<'a> {
+pub struct ReceiptContent<'a> {
     /// `Message-ID` of the receipt itself, without angle brackets.
     pub receipt_id: &'a str,
     /// AS2 name of the sender of the original message.
@@ -89,7 +89,7 @@
     /// Text for human readers.
     pub text: &'a str,
     /// The gateway's final outcome, if it is one.
-    pub answer: Option<Outcome>,
+    pub final_outcome: Option<Outcome>,
 }
 
 /// Composes a receipt, signed if `sign` names a digest.
@@ -98,24 +98,24 @@
 ///
 /// If the identity can't sign with this digest.
 pub fn compose_receipt(
-    facts: &ReceiptFacts,
+    facts: &ReceiptContent,
     from: &Identity,
     sign: Option<Digest>,
-) -> Result<Composed, As2Error> {
+) -> Result<ComposedMessage, As2Error> {
     let mut fields = Headers::new()
         .with("Reporting-UA", "cloverstile")
         .with("Original-Recipient", format!("rfc822; {}", quote_name(&from.name)))
         .with("Final-Recipient", format!("rfc822; {}", quote_name(&from.name)))
         .with("Original-Message-ID", format!("<{}>", facts.original_id))
-        .with("Disposition", facts.disposition.write());
+        .with("Disposition", facts.disposition.to_field_value());
     if let Some(mic) = facts.mic {
-        fields.add("Received-Content-MIC", mic.write());
+        fields.add("Received-Content-MIC", mic.to_header_value());
     }
-    if let Some(answer) = facts.answer {
-        fields.add("X-Cloverstile-Answer", answer.name());
+    if let Some(outcome) = facts.final_outcome {
+        fields.add("X-Cloverstile-Answer", outcome.name());
     }
     let text = format!("Content-Type: text/plain; charset=us-ascii\r\n\r\n{}\r\n", facts.text);
-    let machine = Part { headers: fields, body: Vec::new() }.write();
+    let machine = Part { headers: fields, body: Vec::new() }.to_bytes();
     let boundary = boundary(&[text.as_bytes(), &machine]);
     let mut body = format!("--{boundary}\r\n{text}\r\n--{boundary}\r\n").into_bytes();
     body.extend_from_slice(b"Content-Type: message/disposition-notification\r\n\r\n");
@@ -125,7 +125,7 @@
     let report = Part { headers: Headers::new().with("Content-Type", kind), body };
     let digest = sign.unwrap_or(Digest::Sha256);
     let part = match sign {
-        Some(digest) => signed_part(&report.write(), from, digest)?,
+        Some(digest) => signed_part(&report.to_bytes(), from, digest)?,
         None => report,
     };
     let mut headers = Headers::new()
@@ -136,7 +136,7 @@
         .with("MIME-Version", "1.0");
     headers.extend(&part.headers);
     let mic = Mic { value: digest.of(&part.body), digest };
-    Ok(Composed { headers, body: part.body, mic })
+    Ok(ComposedMessage { headers, body: part.body, mic })
 }
 
 /// A parsed receipt; its signature, if any, is verified.
@@ -151,7 +151,7 @@
     /// Whether it was signed; the signature is verified with the given certificate.
     pub signed: bool,
     /// The gateway's final outcome, if there is one.
-    pub answer: Option<Outcome>,
+    pub final_outcome: Option<Outcome>,
 }
 
 impl Receipt {
@@ -160,10 +160,10 @@
     ///
     /// # Errors
     ///
-    /// [`As2Error::OtherReceipt`], [`As2Error::Unprotected`], [`As2Error::Digest`] or [`As2Error::Missing`].
+    /// [`As2Error::ReceiptMismatch`], [`As2Error::Unprotected`], [`As2Error::Digest`] or [`As2Error::Missing`].
     pub fn check(&self, message_id: &str, mic: &Mic, signed: bool) -> Result<(), As2Error> {
         if self.original_id != message_id {
-            return Err(As2Error::OtherReceipt(self.original_id.clone()));
+            return Err(As2Error::ReceiptMismatch(self.original_id.clone()));
         }
         if signed && !self.signed {
             return Err(As2Error::Unprotected("signed"));
@@ -196,17 +196,17 @@
         let [report, signature] = parts[..] else {
             return Err(As2Error::Mime("multipart/signed needs two parts"));
         };
-        let signature = Part::read(signature)?.decoded()?;
+        let signature = Part::parse(signature)?.decoded()?;
         secure::verify(&signature, Some(report), from)?;
         signed = true;
-        part = Part::read(report)?;
+        part = Part::parse(report)?;
     }
     let kind = part.content_type();
     if kind.name != "multipart/report" {
         return Err(As2Error::Mime("a receipt must be a multipart/report"));
     }
     for piece in split_multipart(&part.body, boundary_of(&kind)?)? {
-        let piece = Part::read(piece)?;
+        let piece = Part::parse(piece)?;
         if piece.content_type().name == "message/disposition-notification" {
             return read_fields(&piece, signed);
         }
@@ -222,15 +222,15 @@
     // Some products leave out the empty line after the last field.
     let mut text = piece.decoded()?;
     text.extend_from_slice(b"\r\n\r\n");
-    let fields = Part::read(&text)?.headers;
+    let fields = Part::parse(&text)?.headers;
     let original = fields.get("original-message-id").ok_or(As2Error::Missing("Original-Message-ID"))?;
     let disposition = fields.get("disposition").ok_or(As2Error::Missing("Disposition"))?;
     Ok(Receipt {
         original_id: original.trim().trim_start_matches('<').trim_end_matches('>').to_owned(),
-        disposition: Disposition::read(disposition)
+        disposition: Disposition::parse(disposition)
             .ok_or(As2Error::Mime("a disposition of no known kind"))?,
-        mic: fields.get("received-content-mic").and_then(Mic::read),
+        mic: fields.get("received-content-mic").and_then(Mic::parse),
         signed,
-        answer: fields.get("x-cloverstile-answer").and_then(Outcome::read),
+        final_outcome: fields.get("x-cloverstile-answer").and_then(Outcome::parse),
     })
 }
--- a/crates/as2/src/secure.rs
+++ b/crates/as2/src/secure.rs
@@ -3,7 +3,7 @@
 use crate::algorithm::{Cipher, Digest};
 use crate::ber::to_der;
 use crate::keys::{KeyKind, PrivateKey};
-use crate::mime::BOUNDS;
+use crate::mime::LIMITS;
 use crate::{As2Error, Certificate, Identity};
 use aws_lc_rs::aead::{Aad, LessSafeKey, Nonce, UnboundKey, AES_128_GCM, AES_256_GCM};
 use aws_lc_rs::cipher::{
@@ -483,11 +483,11 @@
     let packed = packed.decode_as::<OctetString>().map_err(cms("compression"))?;
     let mut content = Vec::new();
     flate2::read::ZlibDecoder::new(packed.as_bytes())
-        .take(BOUNDS.unpacked as u64 + 1)
+        .take(LIMITS.decompressed_bytes as u64 + 1)
         .read_to_end(&mut content)
         .map_err(|error| As2Error::Cms("compression", error.to_string()))?;
-    match content.len() > BOUNDS.unpacked {
-        true => Err(As2Error::Bound("unpacked bytes", BOUNDS.unpacked)),
+    match content.len() > LIMITS.decompressed_bytes {
+        true => Err(As2Error::LimitExceeded("unpacked bytes", LIMITS.decompressed_bytes)),
         false => Ok(content),
     }
 }
--- a/crates/as2/tests/messages.rs
+++ b/crates/as2/tests/messages.rs
@@ -23,7 +23,7 @@
 static A: LazyLock<Identity> = LazyLock::new(|| identity("station a", data!("a.key"), data!("a.crt")));
 static E: LazyLock<Identity> = LazyLock::new(|| identity("E", data!("e.key"), data!("e.crt")));
 static OTHER: LazyLock<Identity> = LazyLock::new(|| {
-    let (key, certificate) = new_station("other", NewKey::P256, (2026, 1, 1), (2036, 1, 1)).unwrap();
+    let (key, certificate) = generate_identity("other", NewKey::P256, (2026, 1, 1), (2036, 1, 1)).unwrap();
     Identity::from_pem("other", &key, &certificate).unwrap()
 });
 
@@ -31,18 +31,18 @@
     Part { headers: Headers::new().with("Content-Type", "application/edi-x12"), body: body.to_vec() }
 }
 
-fn to_a() -> Addressee<'static> {
-    Addressee { name: "station a", certificate: &A.certificate }
+fn to_a() -> Recipient<'static> {
+    Recipient { name: "station a", certificate: &A.certificate }
 }
 
-fn sent(security: &Security, body: &[u8]) -> Composed {
+fn sent(security: &Security, body: &[u8]) -> ComposedMessage {
     let payload = payload(body);
-    let outgoing = Outgoing { message_id: "m1@e", payload: &payload, subject: Some("pay") };
+    let outgoing = OutgoingMessage { message_id: "m1@e", payload: &payload, subject: Some("pay") };
     compose(&outgoing, &E, to_a(), security).unwrap()
 }
 
-fn opened(headers: &Headers, body: &[u8]) -> Result<Opened, As2Error> {
-    let envelope = Envelope::read(headers)?;
+fn opened(headers: &Headers, body: &[u8]) -> Result<OpenedMessage, As2Error> {
+    let envelope = Envelope::parse(headers)?;
     open(headers, body, &A, &E.certificate, envelope.receipt.as_ref())
 }
 
@@ -68,7 +68,7 @@
 fn every_protection_round_trips_with_equal_integrity_check() {
     for security in every_protection() {
         let composed = sent(&security, b"line one\nline two\r\n--\r\n");
-        let envelope = Envelope::read(&composed.headers).unwrap();
+        let envelope = Envelope::parse(&composed.headers).unwrap();
         assert_eq!(
             (&envelope.from[..], &envelope.to[..], &envelope.message_id[..]),
             ("E", "station a", "m1@e")
@@ -84,12 +84,12 @@
 #[test]
 fn rsa_signs_with_every_sha_2_digest_and_never_with_sha_1() {
     let payload = payload(b"x");
-    let outgoing = Outgoing { message_id: "m", payload: &payload, subject: None };
-    let to = Addressee { name: "A", certificate: &A.certificate };
+    let outgoing = OutgoingMessage { message_id: "m", payload: &payload, subject: None };
+    let to = Recipient { name: "A", certificate: &A.certificate };
     for digest in [Digest::Sha256, Digest::Sha384, Digest::Sha512] {
         let security = Security { sign: Some(digest), ..Security::default() };
         let composed = compose(&outgoing, &A, to, &security).unwrap();
-        let receipt = Envelope::read(&composed.headers).unwrap().receipt;
+        let receipt = Envelope::parse(&composed.headers).unwrap().receipt;
         let opened = open(&composed.headers, &composed.body, &A, &A.certificate, receipt.as_ref()).unwrap();
         assert_eq!((opened.signed, opened.mic), (Some(digest), composed.mic));
     }
@@ -100,7 +100,7 @@
 #[test]
 fn messages_of_other_products_are_opened() {
     let part = data!("part.bin");
-    let mail = |bytes: &[u8]| Part::read(bytes).unwrap();
+    let mail = |bytes: &[u8]| Part::parse(bytes).unwrap();
     for (name, bytes, from) in [
         ("detached", &data!("signed.eml")[..], &*A),
         ("probabilistic padding", data!("pss.eml"), &*A),
@@ -129,7 +129,7 @@
 }
 
 fn base64_lines(bytes: &[u8]) -> String {
-    let digits = Mic { value: bytes.to_vec(), digest: Digest::Sha256 }.write();
+    let digits = Mic { value: bytes.to_vec(), digest: Digest::Sha256 }.to_header_value();
     digits
         .split(',')
         .next()
@@ -142,7 +142,7 @@
 
 #[test]
 fn message_signed_with_crlf_and_sent_with_lf_is_opened() {
-    let message = Part::read(data!("signed.eml")).unwrap();
+    let message = Part::parse(data!("signed.eml")).unwrap();
     let body: Vec<u8> = message.body.iter().copied().filter(|b| *b != b'\r').collect();
     assert!(open(&message.headers, &body, &A, &A.certificate, None).unwrap().signed.is_some());
 }
@@ -179,25 +179,35 @@
 #[test]
 fn decompression_bomb_is_an_error() {
     let security = Security { sign: None, encrypt: None, compress: true, receipt: None };
-    let composed = sent(&security, &vec![0; BOUNDS.unpacked + 1]);
+    let composed = sent(&security, &vec![0; LIMITS.decompressed_bytes + 1]);
     assert!(composed.body.len() < 200_000);
-    assert!(matches!(opened(&composed.headers, &composed.body), Err(As2Error::Bound("unpacked bytes", _))));
+    assert!(matches!(
+        opened(&composed.headers, &composed.body),
+        Err(As2Error::LimitExceeded("unpacked bytes", _))
+    ));
 }
 
 #[test]
 fn unbounded_nesting_of_layers_is_an_error() {
     let mut part = payload(b"x");
-    for _ in 0..BOUNDS.depth + 1 {
+    for _ in 0..LIMITS.layers + 1 {
         let security = Security { sign: None, encrypt: None, compress: true, receipt: None };
-        let composed =
-            compose(&Outgoing { message_id: "m", payload: &part, subject: None }, &E, to_a(), &security)
-                .unwrap();
+        let composed = compose(
+            &OutgoingMessage { message_id: "m", payload: &part, subject: None },
+            &E,
+            to_a(),
+            &security,
+        )
+        .unwrap();
         part = Part {
             headers: Headers::new().with("Content-Type", "application/pkcs7-mime"),
             body: composed.body,
         };
     }
-    assert!(matches!(open(&part.headers, &part.body, &A, &E.certificate, None), Err(As2Error::Bound(..))));
+    assert!(matches!(
+        open(&part.headers, &part.body, &A, &E.certificate, None),
+        Err(As2Error::LimitExceeded(..))
+    ));
 }
 
 #[test]
@@ -212,23 +222,23 @@
             "signed-receipt-protocol=optional, pkcs7-signature; signed-receipt-micalg=optional, sha256,SHA1",
         )
         .with("Receipt-Delivery-Option", "http://127.0.0.1:9/r");
-    let envelope = Envelope::read(&headers).unwrap();
+    let envelope = Envelope::parse(&headers).unwrap();
     assert_eq!((&envelope.from[..], &envelope.to[..]), ("Bank \"North\"", "me"));
     let receipt = envelope.receipt.unwrap();
     assert_eq!(receipt.signed, [Digest::Sha256, Digest::Sha1]);
     assert_eq!(receipt.deliver_to.as_deref(), Some("http://127.0.0.1:9/r"));
-    assert_eq!(Envelope::read(&Headers::new()), Err(As2Error::Missing("AS2-From")));
+    assert_eq!(Envelope::parse(&Headers::new()), Err(As2Error::Missing("AS2-From")));
 }
 
-fn facts<'a>(disposition: Disposition, mic: &'a Mic) -> ReceiptFacts<'a> {
-    ReceiptFacts {
+fn facts<'a>(disposition: Disposition, mic: &'a Mic) -> ReceiptContent<'a> {
+    ReceiptContent {
         receipt_id: "r1@a",
         to: "E",
         original_id: "m1@e",
         disposition,
         mic: Some(mic),
         text: "as told",
-        answer: Some(Outcome::Failed),
+        final_outcome: Some(Outcome::Failed),
     }
 }
 
@@ -246,7 +256,7 @@
             let composed = compose_receipt(&facts(disposition.clone(), &mic), &A, sign).unwrap();
             let receipt = read_receipt(&composed.headers, &composed.body, &A.certificate).unwrap();
             assert_eq!((&receipt.disposition, receipt.signed), (&disposition, sign.is_some()));
-            assert_eq!((receipt.answer, receipt.mic.as_ref()), (Some(Outcome::Failed), Some(&mic)));
+            assert_eq!((receipt.final_outcome, receipt.mic.as_ref()), (Some(Outcome::Failed), Some(&mic)));
             assert_eq!(receipt.check("m1@e", &mic, true).is_ok(), sign.is_some());
             assert!(receipt.check("m2@e", &mic, false).is_err());
             let processed = matches!(disposition, Disposition::Processed | Disposition::Warning(_));
@@ -305,6 +315,6 @@
         let headers = Headers::new().with("Content-Type", kind).with("Content-Transfer-Encoding", encoding);
         let _ = open(&headers, &body, &A, &E.certificate, None);
         let _ = read_receipt(&headers, &body, &E.certificate);
-        let _ = Part::read(&body);
+        let _ = Part::parse(&body);
     }
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::exit_status::ExitStatus;
 use clap::{Args, ValueEnum};
-use cloverstile_as2::{new_station, Certificate, NewKey};
+use cloverstile_as2::{generate_identity, Certificate, NewKey};
 use std::fs::OpenOptions;
 use std::io::{self, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -66,7 +66,7 @@
             SystemTime::now().duration_since(UNIX_EPOCH).map_err(|error| error.to_string())?.as_secs()
                 / SECONDS_PER_DAY;
         let (from, to) = (date(today), date(today + self.days));
-        let (key, certificate) = new_station(&self.name, key, from.to_tuple(), to.to_tuple())
+        let (key, certificate) = generate_identity(&self.name, key, from.to_tuple(), to.to_tuple())
             .map_err(|error| error.to_string())?;
         write_new(&self.path("key"), 0o600, &key)?;
         write_new(&self.path("crt"), 0o644, &certificate)?;
@@ -89,7 +89,7 @@
 }
 
 impl Date {
-    /// Year, month and day, as [`new_station`] takes them.
+    /// Year, month and day, as [`generate_identity`] takes them.
     fn to_tuple(self) -> (i32, u8, u8) {
         (self.year, self.month, self.day)
     }
--- a/crates/cli/src/send.rs
+++ b/crates/cli/src/send.rs
@@ -3,8 +3,8 @@
 use crate::exit_status::ExitStatus;
 use clap::Args;
 use cloverstile_as2::{
-    compose, read_receipt, Addressee, As2Error, Certificate, Cipher, Composed, Digest, Mic, Outcome,
-    Outgoing, Part, Receipt, ReceiptRequest, Security,
+    compose, read_receipt, As2Error, Certificate, Cipher, ComposedMessage, Digest, Mic, Outcome,
+    OutgoingMessage, Part, Receipt, ReceiptRequest, Recipient, Security,
 };
 use cloverstile_as2_gateway::load_identity;
 use cloverstile_http::{
@@ -130,7 +130,7 @@
         };
         let receipt = result.receipt.as_ref();
         let disposition = receipt.map(|receipt| format!("{:?}", receipt.disposition));
-        let mic = receipt.and_then(|receipt| receipt.mic.as_ref().map(Mic::write));
+        let mic = receipt.and_then(|receipt| receipt.mic.as_ref().map(Mic::to_header_value));
         if self.json {
             let answer = answer.split(':').next();
             let summary = serde_json::json!({
@@ -160,8 +160,8 @@
             receipt: Some(ReceiptRequest { deliver_to: None, signed: vec![Digest::Sha256] }),
             ..Security::default()
         };
-        let addressee = Addressee { name: &self.to, certificate: &gateway };
-        let outgoing = Outgoing { message_id: id, payload: &payload, subject: None };
+        let addressee = Recipient { name: &self.to, certificate: &gateway };
+        let outgoing = OutgoingMessage { message_id: id, payload: &payload, subject: None };
         let composed = compose(&outgoing, &identity, addressee, &security)
             .map_err(|error| SendError::settings(error.to_string()))?;
         let response = self.post(address, &path, &composed)?;
@@ -203,7 +203,12 @@
     }
 
     /// Sends the request and reads the response.
-    fn post(&self, address: SocketAddr, path: &str, composed: &Composed) -> Result<Message, SendError> {
+    fn post(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        composed: &ComposedMessage,
+    ) -> Result<Message, SendError> {
         let mut stream = TcpStream::connect(address)
             .map_err(|error| SendError::failure(&format!("connecting to {address}"), &error))?;
         let headers = composed.headers.clone().with("Host", address.to_string()).with("Connection", "close");
@@ -243,7 +248,7 @@
 fn interpret(
     response: &Message,
     id: &str,
-    composed: &Composed,
+    composed: &ComposedMessage,
     gateway: &Certificate,
 ) -> Result<SendResult, SendError> {
     let StartLine::Response { status: http_status } = response.start_line else {
@@ -260,9 +265,9 @@
     let invalid = |error: As2Error| SendError::unknown(format!("receipt: {error}"));
     let receipt = read_receipt(&response.headers, &response.body, gateway).map_err(invalid)?;
     receipt.check(id, &composed.mic, true).map_err(invalid)?;
-    let exit = match receipt.answer {
+    let exit = match receipt.final_outcome {
         Some(Outcome::Delivered) => ExitStatus::Success,
-        Some(Outcome::Refused) => ExitStatus::Refused,
+        Some(Outcome::Rejected) => ExitStatus::Refused,
         Some(Outcome::Failed) => ExitStatus::MayHaveTakenEffect,
         None => ExitStatus::Unknown,
     };
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -17,7 +17,7 @@
 pub use messages::PlannedMessage;
 
 use crate::record::{micros, ObservedEvent, Recorder, ReportedOutcome};
-use cloverstile_as2::{read_receipt, Addressee, Digest, Identity, ReceiptRequest, Security};
+use cloverstile_as2::{read_receipt, Digest, Identity, ReceiptRequest, Recipient, Security};
 use cloverstile_http::Message;
 use connections::{ConnectionEvent, Connections};
 use gateways::{key_hash, GatewaySelector};
@@ -262,7 +262,7 @@
         if self.messages.get(index).composed.is_some() {
             return;
         }
-        let addressee = Addressee {
+        let addressee = Recipient {
             name: &self.gateways.names[gateway],
             certificate: &self.gateways.certificates[gateway],
         };
--- a/crates/fakes/src/client/exchange.rs
+++ b/crates/fakes/src/client/exchange.rs
@@ -3,7 +3,8 @@
 use super::messages::PendingMessage;
 use crate::record::ReportedOutcome;
 use cloverstile_as2::{
-    compose, read_receipt, Addressee, Certificate, Composed, Identity, Outcome, Outgoing, Part, Security,
+    compose, read_receipt, Certificate, ComposedMessage, Identity, Outcome, OutgoingMessage, Part, Recipient,
+    Security,
 };
 use cloverstile_http::{encode_request, Headers, Message, StartLine};
 use std::net::SocketAddr;
@@ -13,21 +14,21 @@
 pub(super) fn compose_message(
     message: &PendingMessage,
     sender: &Identity,
-    gateway: Addressee<'_>,
+    gateway: Recipient<'_>,
     security: &Security,
-) -> Option<Composed> {
+) -> Option<ComposedMessage> {
     let payload = Part {
         headers: Headers::new().with("Content-Type", "application/octet-stream"),
         body: message.planned.body.clone(),
     };
-    let outgoing = Outgoing { message_id: &message.planned.id, payload: &payload, subject: None };
+    let outgoing = OutgoingMessage { message_id: &message.planned.id, payload: &payload, subject: None };
     compose(&outgoing, sender, gateway, security).ok()
 }
 
 /// The HTTP request that submits a composed message.
 pub(super) fn submission_request(
     message: &PendingMessage,
-    composed: &Composed,
+    composed: &ComposedMessage,
     address: SocketAddr,
     time_left: Duration,
 ) -> Vec<u8> {
@@ -71,11 +72,11 @@
     let receipt = read_receipt(&response.headers, &response.body, certificate);
     let checked = receipt.and_then(|receipt| {
         receipt.check(&message.planned.id, &composed.mic, true)?;
-        Ok(receipt.answer)
+        Ok(receipt.final_outcome)
     });
     match checked {
         Ok(Some(Outcome::Delivered)) => ReportedOutcome::Delivered,
-        Ok(Some(Outcome::Refused)) => ReportedOutcome::Rejected,
+        Ok(Some(Outcome::Rejected)) => ReportedOutcome::Rejected,
         Ok(Some(Outcome::Failed)) => ReportedOutcome::Failed,
         Ok(None) | Err(_) => ReportedOutcome::Unclear,
     }
--- a/crates/fakes/src/client/messages.rs
+++ b/crates/fakes/src/client/messages.rs
@@ -1,7 +1,7 @@
 //! The messages of a client's plan: when each is due, which wait behind an earlier message of their key, and which
 //! have their final outcome. No I/O.
 
-use cloverstile_as2::Composed;
+use cloverstile_as2::ComposedMessage;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 pub(super) struct PendingMessage {
     pub(super) planned: PlannedMessage,
     /// The AS2 message for the gateway that it goes to.
-    pub(super) composed: Option<Composed>,
+    pub(super) composed: Option<ComposedMessage>,
     /// The gateway of the last submission.
     pub(super) gateway: Option<usize>,
     /// When the gateways give it up; set at the first submission.
--- a/crates/fakes/src/partner/receipts.rs
+++ b/crates/fakes/src/partner/receipts.rs
@@ -3,7 +3,8 @@
 use super::config::ResponseFault;
 use crate::model::Reply;
 use cloverstile_as2::{
-    compose_receipt, open, Certificate, Composed, Digest, Disposition, Envelope, Identity, ReceiptFacts,
+    compose_receipt, open, Certificate, ComposedMessage, Digest, Disposition, Envelope, Identity,
+    ReceiptContent,
 };
 use cloverstile_http::{parse_http_url, Message};
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
     pub(super) message_id: String,
     pub(super) opened: bool,
     /// The receipt; none if it can't be composed.
-    pub(super) receipt: Option<Composed>,
+    pub(super) receipt: Option<ComposedMessage>,
 }
 
 /// A partner's side of a receipt.
@@ -31,7 +32,7 @@
     reply: Reply,
     signer: &ReceiptSigner<'_>,
 ) -> Option<ComposedReceipt> {
-    let envelope = Envelope::read(&message.headers).ok()?;
+    let envelope = Envelope::parse(&message.headers).ok()?;
     let opened = open(&message.headers, &message.body, signer.identity, sender, envelope.receipt.as_ref());
     let is_opened = opened.is_ok();
     let (disposition, mut mic) = match (opened, reply) {
@@ -45,14 +46,14 @@
     let requested = envelope.receipt.and_then(|receipt| receipt.signed.first().copied());
     let digest = requested.filter(|digest| *digest != Digest::Sha1);
     let receipt_id = format!("receipt.{}", envelope.message_id);
-    let facts = ReceiptFacts {
+    let facts = ReceiptContent {
         receipt_id: &receipt_id,
         to: &envelope.from,
         original_id: &envelope.message_id,
         disposition,
         mic: mic.as_ref(),
         text: "The message has been received.",
-        answer: None,
+        final_outcome: None,
     };
     let identity = match signer.fault {
         Some(ResponseFault::WrongSigner) => signer.other.unwrap_or(signer.identity),
@@ -64,7 +65,7 @@
 
 /// Where a message wants its receipt on a connection of its own: the URL as it stands.
 pub(super) fn deferred_url(message: &Message) -> Option<String> {
-    Envelope::read(&message.headers).ok()?.receipt?.deliver_to
+    Envelope::parse(&message.headers).ok()?.receipt?.deliver_to
 }
 
 /// Address and path of a deferred receipt.
--- a/crates/fakes/src/partner/server.rs
+++ b/crates/fakes/src/partner/server.rs
@@ -5,7 +5,7 @@
 use super::served::{EndpointListener, ServedPartner};
 use crate::model::{Fault, Reply};
 use crate::record::{ObservedEvent, Recorder, RequestEnd};
-use cloverstile_as2::{Certificate, Composed, Envelope};
+use cloverstile_as2::{Certificate, ComposedMessage, Envelope};
 use cloverstile_http::{encode_request, encode_response, DecodedItem, Decoder, Headers, Limits, Message};
 use cloverstile_net::{ConnId, ListenerId, Net, NetEvent, Waker};
 use std::collections::{BTreeMap, HashMap};
@@ -277,7 +277,7 @@
         let now = self.recorder.now();
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let EndpointRef { partner, endpoint } = connection.at;
-        let Ok(envelope) = Envelope::read(&message.headers) else {
+        let Ok(envelope) = Envelope::parse(&message.headers) else {
             self.net.send(id, &encode_response(400, "Bad Request", &Headers::new(), b"not AS2"));
             return;
         };
@@ -372,9 +372,9 @@
     }
 
     /// Opens a message, lets it take effect where it does, and composes its receipt.
-    fn receipt(&self, due: &PendingResponse) -> Option<Composed> {
+    fn receipt(&self, due: &PendingResponse) -> Option<ComposedMessage> {
         let served = &self.partners[due.partner];
-        let from = Envelope::read(&due.message.headers).ok()?.from;
+        let from = Envelope::parse(&due.message.headers).ok()?.from;
         let sender = self.gateways.get(&from)?;
         let identity = &served.config.identity;
         let identities = self.partners.iter().map(|partner| &*partner.config.identity);
--- a/crates/testbench/src/benchmark/crypto_path.rs
+++ b/crates/testbench/src/benchmark/crypto_path.rs
@@ -4,8 +4,9 @@
 use aws_lc_rs::rsa::{Pkcs1PrivateDecryptingKey, Pkcs1PublicEncryptingKey, PrivateDecryptingKey};
 use aws_lc_rs::signature::{RsaKeyPair, RSA_PKCS1_SHA256};
 use cloverstile_as2::{
-    compose, compose_receipt, new_station, open, read_receipt, Addressee, As2Error, Composed, Digest,
-    Disposition, Envelope, Identity, NewKey, Opened, Outcome, Outgoing, Part, ReceiptFacts, Security,
+    compose, compose_receipt, generate_identity, open, read_receipt, As2Error, ComposedMessage, Digest,
+    Disposition, Envelope, Identity, NewKey, OpenedMessage, Outcome, OutgoingMessage, Part, ReceiptContent,
+    Recipient, Security,
 };
 use cloverstile_http::Headers;
 use rustix::time::{clock_gettime, ClockId};
@@ -61,7 +62,7 @@
 impl Stations {
     fn new() -> Result<Stations, As2Error> {
         let [from, until] = VALIDITY;
-        let generate = |name: &str| new_station(name, NewKey::Rsa2048, from, until);
+        let generate = |name: &str| generate_identity(name, NewKey::Rsa2048, from, until);
         let station = |name: &str| {
             let (key, certificate) = generate(name)?;
             Identity::from_pem(name, &key, &certificate)
@@ -85,19 +86,24 @@
     part.decoded()
 }
 
-fn addressee(identity: &Identity) -> Addressee<'_> {
-    Addressee { name: &identity.name, certificate: &identity.certificate }
+fn addressee(identity: &Identity) -> Recipient<'_> {
+    Recipient { name: &identity.name, certificate: &identity.certificate }
 }
 
-fn receipt(original_id: &str, from: &Identity, to: &Identity, opened: &Opened) -> Result<Composed, As2Error> {
-    let facts = ReceiptFacts {
+fn receipt(
+    original_id: &str,
+    from: &Identity,
+    to: &Identity,
+    opened: &OpenedMessage,
+) -> Result<ComposedMessage, As2Error> {
+    let facts = ReceiptContent {
         receipt_id: "receipt",
         to: &to.name,
         original_id,
         disposition: Disposition::Processed,
         mic: Some(&opened.mic),
         text: "The message was delivered.",
-        answer: Some(Outcome::Delivered),
+        final_outcome: Some(Outcome::Delivered),
     };
     compose_receipt(&facts, from, Some(Digest::Sha256))
 }
@@ -155,21 +161,21 @@
 }
 
 /// Takes one submitted message through the gateway.
-fn run_path(stations: &Stations, submitted: &Composed, times: &mut PathTimes) -> Result<(), As2Error> {
+fn run_path(stations: &Stations, submitted: &ComposedMessage, times: &mut PathTimes) -> Result<(), As2Error> {
     let Stations { client, gateway, partner, .. } = stations;
     let (envelope, opened) = timed(&mut times.open, || {
-        let envelope = Envelope::read(&submitted.headers)?;
+        let envelope = Envelope::parse(&submitted.headers)?;
         let (headers, body) = (&submitted.headers, &submitted.body);
         let opened = open(headers, body, gateway, &client.certificate, envelope.receipt.as_ref())?;
         Ok::<_, As2Error>((envelope, opened))
     })?;
     let message_id = &envelope.message_id;
     let sent = timed(&mut times.compose, || {
-        let onward = Outgoing { message_id, payload: &opened.payload, subject: None };
+        let onward = OutgoingMessage { message_id, payload: &opened.payload, subject: None };
         compose(&onward, gateway, addressee(partner), &Security::default())
     })?;
     // The partner's own work does not count.
-    let requested = Envelope::read(&sent.headers)?.receipt;
+    let requested = Envelope::parse(&sent.headers)?.receipt;
     let received = open(&sent.headers, &sent.body, partner, &gateway.certificate, requested.as_ref())?;
     let returned = receipt(message_id, partner, gateway, &received)?;
     timed(&mut times.verify_receipt, || {
@@ -190,7 +196,7 @@
         headers: Headers::new().with("Content-Type", "application/octet-stream"),
         body: vec![b'x'; body],
     };
-    let outgoing = Outgoing { message_id: "m@client", payload: &payload, subject: None };
+    let outgoing = OutgoingMessage { message_id: "m@client", payload: &payload, subject: None };
     let to_gateway = addressee(&stations.gateway);
     let submitted = compose(&outgoing, &stations.client, to_gateway, &Security::default())?;
     let minimal = MinimalOperations::new(&stations.gateway_key)?;
--- a/fuzz/fuzz_targets/as2.rs
+++ b/fuzz/fuzz_targets/as2.rs
@@ -12,8 +12,8 @@
 });
 
 fuzz_target!(|data: &[u8]| {
-    let Ok(part) = Part::read(data) else { return };
-    let receipt = Envelope::read(&part.headers).ok().and_then(|envelope| envelope.receipt);
+    let Ok(part) = Part::parse(data) else { return };
+    let receipt = Envelope::parse(&part.headers).ok().and_then(|envelope| envelope.receipt);
     let _ = open(&part.headers, &part.body, &ME, &ME.certificate, receipt.as_ref());
     let _ = read_receipt(&part.headers, &part.body, &ME.certificate);
 });
