--- a/crates/as2-gateway/src/admission.rs
+++ b/crates/as2-gateway/src/admission.rs
@@ -105,16 +105,17 @@
     opened: &OpenedMessage,
     receipt: Option<&ReceiptRequest>,
 ) -> Result<(), RejectionReason> {
-    let signed = opened.signed.is_some_and(|digest| sender.sha1 || digest != cloverstile_as2::Digest::Sha1);
-    if sender.sign && !signed {
+    let signed =
+        opened.signed.is_some_and(|digest| sender.accepts_sha1 || digest != cloverstile_as2::Digest::Sha1);
+    if sender.requires_signature && !signed {
         return Err(RejectionReason::InsufficientSecurity("signed"));
     }
-    if sender.encrypt && !opened.encrypted {
+    if sender.requires_encryption && !opened.encrypted {
         return Err(RejectionReason::InsufficientSecurity("encrypted"));
     }
     // Guards against a message that makes the gateway connect to any address it names.
     match receipt.and_then(|request| request.deliver_to.as_deref()) {
-        Some(url) if !sender.receipts.as_deref().is_some_and(|prefix| url.starts_with(prefix)) => {
+        Some(url) if !sender.receipt_url_prefix.as_deref().is_some_and(|prefix| url.starts_with(prefix)) => {
             Err(RejectionReason::ReceiptUrlNotAllowed(url.to_owned()))
         }
         _ => Ok(()),
--- a/crates/as2-gateway/src/as2_server/connections.rs
+++ b/crates/as2-gateway/src/as2_server/connections.rs
@@ -75,8 +75,8 @@
         let limits = Limits {
             max_head_bytes: settings.max_head_bytes,
             max_body_bytes: settings.max_body_bytes,
-            head_timeout: settings.head_time,
-            message_timeout: settings.message_time,
+            head_timeout: settings.head_timeout,
+            message_timeout: settings.message_timeout,
             ..Limits::default()
         };
         let connection = InboundConnection {
--- a/crates/as2-gateway/src/directory.rs
+++ b/crates/as2-gateway/src/directory.rs
@@ -123,7 +123,7 @@
             .map(|partner| certificate(&partner.certificate))
             .collect::<Result<_, _>>()?;
         for (partner, certificate) in config.partners.iter().zip(&partners) {
-            if partner.encrypt.is_some() && !certificate.can_receive_encrypted() {
+            if partner.content_cipher.is_some() && !certificate.can_receive_encrypted() {
                 let (path, partner) = (partner.certificate.clone(), partner.name.clone());
                 return Err(LoadError::EncryptionNotSupported { path, partner });
             }
--- a/crates/as2-gateway/src/outbound_client.rs
+++ b/crates/as2-gateway/src/outbound_client.rs
@@ -14,7 +14,7 @@
 use cloverstile_engine::{Attempt, TransportOutcome};
 use cloverstile_http::{encode_request, DecodedItem, Message, StartLine};
 use cloverstile_net::ConnId;
-use cloverstile_settings::Receipt;
+use cloverstile_settings::ReceiptMode;
 use connection_pool::{ConnectionPool, ConnectionUse};
 use security::security_for;
 use std::collections::{HashMap, VecDeque};
@@ -218,9 +218,9 @@
         let Some(in_flight) = context.messages.get(&attempt.message) else {
             return self.end_attempt(context, id, TransportOutcome::Error, None);
         };
-        let receipt = context.config.partners[in_flight.partner].receipt;
+        let receipt = context.config.partners[in_flight.partner].receipt_mode;
         match (message.body.is_empty(), receipt) {
-            (true, Receipt::Async) => self.detach_attempt(context, id),
+            (true, ReceiptMode::Async) => self.detach_attempt(context, id),
             (true, _) => {
                 let error = As2Error::Missing("receipt");
                 self.end_attempt(context, id, TransportOutcome::Error, Some(error));
@@ -400,7 +400,7 @@
     let Some(in_flight) = context.messages.get(&attempt.message) else { return };
     let Some(composed) = in_flight.composed.clone() else { return };
     let certificate = context.directory.partners[in_flight.partner].clone();
-    let signed = context.config.partners[in_flight.partner].receipt != Receipt::Unsigned;
+    let signed = context.config.partners[in_flight.partner].receipt_mode != ReceiptMode::Unsigned;
     let message_id = context.idempotency_key(attempt.message).to_owned();
     context.crypto_pool.submit(move || {
         let receipt = read_receipt(&response.headers, &response.body, &certificate);
--- a/crates/as2-gateway/src/outbound_client/security.rs
+++ b/crates/as2-gateway/src/outbound_client/security.rs
@@ -1,19 +1,19 @@
 //! Protection of messages to a partner, from the settings.
 
 use cloverstile_as2::{Cipher, Digest, ReceiptRequest, Security};
-use cloverstile_settings::{self as settings, Partner, Receipt};
+use cloverstile_settings::{self as settings, Partner, ReceiptMode};
 
 /// How messages for a partner are protected, and which receipt is asked for.
 pub(crate) fn security_for(partner: &Partner, receipts_url: String) -> Security {
-    let sign = partner.sign.map(digest);
-    let mic = partner.mic.map(digest).or(sign).unwrap_or(Digest::Sha256);
+    let sign = partner.signature_digest.map(digest);
+    let mic = partner.mic_digest.map(digest).or(sign).unwrap_or(Digest::Sha256);
     let receipt = ReceiptRequest {
-        deliver_to: (partner.receipt == Receipt::Async).then_some(receipts_url),
-        signed: if partner.receipt == Receipt::Unsigned { Vec::new() } else { vec![mic] },
+        deliver_to: (partner.receipt_mode == ReceiptMode::Async).then_some(receipts_url),
+        signed: if partner.receipt_mode == ReceiptMode::Unsigned { Vec::new() } else { vec![mic] },
     };
     Security {
         sign,
-        encrypt: partner.encrypt.map(cipher),
+        encrypt: partner.content_cipher.map(cipher),
         compress: partner.compress,
         receipt: Some(receipt),
     }
--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -136,7 +136,7 @@
             net.watch_signals(&[SignalKind::SIGTERM, SignalKind::SIGINT, SignalKind::SIGHUP])
                 .map_err(io_error("signals"))?;
         }
-        let listen = config.listener.listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
+        let listen = config.listener.address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
         let (listener, address) = net.listen(listen).map_err(io_error(format!("listening on {listen}")))?;
         let crypto_pool =
             CryptoPool::new(config.limits.crypto_threads, &net.waker()).map_err(io_error("threads"))?;
--- a/crates/settings/src/client.rs
+++ b/crates/settings/src/client.rs
@@ -20,19 +20,19 @@
         Some(tenant) => block.index_of("tenant", &tenant, tenants)?,
         None => 0,
     };
-    let sign = block.choice("sign", &[("required", true), ("optional", false)], true);
-    let encrypt = block.choice("encrypt", &[("required", true), ("optional", false)], false);
+    let requires_signature = block.choice("sign", &[("required", true), ("optional", false)], true);
+    let requires_encryption = block.choice("encrypt", &[("required", true), ("optional", false)], false);
     let as2_name = block.text("as2_name").unwrap_or_else(|| name.clone());
-    let sha1 = block.flag("sha1", false);
-    let receipts = block.text("receipts");
+    let accepts_sha1 = block.flag("sha1", false);
+    let receipt_url_prefix = block.text("receipts");
     Some(Client {
-        receipts,
+        receipt_url_prefix,
         as2_name,
         certificate: certificate?.into(),
         tenant: tenant as u32,
-        sign,
-        encrypt,
-        sha1,
+        requires_signature,
+        requires_encryption,
+        accepts_sha1,
         name,
     })
 }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -73,14 +73,14 @@
 pub(crate) fn read_listener(root: &Block) -> Option<Listener> {
     let block = root.only("front")?;
     let listener = Listener {
-        listen: block.address("listen"),
+        address: block.address("listen"),
         path: block.text("path").unwrap_or_else(|| "/as2".to_owned()),
         max_connections: block.number("connections", 1, 100_000, 1_000),
         max_body_bytes: block.size("body", &SIZES, 4 << 20),
         max_head_bytes: block.size("head", &SIZES, 32 << 10),
-        head_time: block.span("head_time", Duration::from_secs(10)),
-        message_time: block.span("message_time", Duration::from_secs(60)),
+        head_timeout: block.span("head_time", Duration::from_secs(10)),
+        message_timeout: block.span("message_time", Duration::from_secs(60)),
     };
     block.finish();
-    listener.listen.map(|listen| Listener { listen: Some(listen), ..listener })
+    listener.address.map(|address| Listener { address: Some(address), ..listener })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use read::{Problem, Problems};
 pub use types::{
-    Cipher, Client, Config, Digest, Endpoint, IdentityFiles, Limits, Listener, Partner, Receipt, Tier,
+    Cipher, Client, Config, Digest, Endpoint, IdentityFiles, Limits, Listener, Partner, ReceiptMode, Tier,
 };
 
 use read::{Block, Source};
--- a/crates/settings/src/partner.rs
+++ b/crates/settings/src/partner.rs
@@ -1,7 +1,7 @@
 //! The blocks of partners.
 
 use crate::read::Block;
-use crate::types::{Cipher, Digest, Endpoint, Partner, Receipt, Tier};
+use crate::types::{Cipher, Digest, Endpoint, Partner, ReceiptMode, Tier};
 use cloverstile::{EndpointState, WeightSource};
 use std::time::Duration;
 
@@ -55,11 +55,11 @@
         rate,
         peak_demand: peak_demand.is_finite().then_some(peak_demand),
         priority_weight,
-        sign: security.sign,
-        encrypt: security.encrypt,
+        signature_digest: security.signature_digest,
+        content_cipher: security.content_cipher,
         compress,
-        receipt: security.receipt,
-        mic: security.mic,
+        receipt_mode: security.receipt_mode,
+        mic_digest: security.mic_digest,
         tiers,
         spill_share,
         spill_rate: spill_rate.is_finite().then_some(spill_rate),
@@ -72,14 +72,14 @@
 
 /// Protection of the messages to a partner, and the receipt asked for.
 struct PartnerSecurity {
-    sign: Option<Digest>,
-    encrypt: Option<Cipher>,
-    receipt: Receipt,
-    mic: Option<Digest>,
+    signature_digest: Option<Digest>,
+    content_cipher: Option<Cipher>,
+    receipt_mode: ReceiptMode,
+    mic_digest: Option<Digest>,
 }
 
 fn read_security(block: &Block) -> PartnerSecurity {
-    let sign = block.choice(
+    let signature_digest = block.choice(
         "sign",
         &[
             ("none", None),
@@ -89,7 +89,7 @@
         ],
         Some(Digest::Sha256),
     );
-    let encrypt = block.choice(
+    let content_cipher = block.choice(
         "encrypt",
         &[
             ("none", None),
@@ -100,12 +100,16 @@
         ],
         Some(Cipher::Aes128Cbc),
     );
-    let receipt = block.choice(
+    let receipt_mode = block.choice(
         "receipt",
-        &[("signed", Receipt::Signed), ("unsigned", Receipt::Unsigned), ("async", Receipt::Async)],
-        Receipt::Signed,
+        &[
+            ("signed", ReceiptMode::Signed),
+            ("unsigned", ReceiptMode::Unsigned),
+            ("async", ReceiptMode::Async),
+        ],
+        ReceiptMode::Signed,
     );
-    let mic = block.choice(
+    let mic_digest = block.choice(
         "mic",
         &[
             ("sha-1", Some(Digest::Sha1)),
@@ -115,7 +119,7 @@
         ],
         None,
     );
-    PartnerSecurity { sign, encrypt, receipt, mic }
+    PartnerSecurity { signature_digest, content_cipher, receipt_mode, mic_digest }
 }
 
 /// The endpoints of a partner; at least one is required.
@@ -159,8 +163,8 @@
         .collect();
     let outside = |endpoint: &&Endpoint| !tiers.iter().any(|tier| tier.zone == endpoint.zone);
     if let Some(endpoint) = endpoints.iter().find(outside).filter(|_| !tiers.is_empty()) {
-        let what = format!("leaves out the zone of endpoint \"{}\"", endpoint.name);
-        block.problem_at("tier", &what, "add a block such as tier \"zone\" { rate = 20 }");
+        let description = format!("leaves out the zone of endpoint \"{}\"", endpoint.name);
+        block.problem_at("tier", &description, "add a block such as tier \"zone\" { rate = 20 }");
     }
     tiers
 }
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -47,8 +47,8 @@
         block.problem_at("aim", "is longer than the deadline", "make it at most as long as 'deadline'");
     }
     if class.effect == Effect::Keyed && class.retry_window.is_zero() {
-        let what = "is missing: partners drop repeats of a keyed message for some time only";
-        block.problem_at("repeat_window", what, "set it to that time, such as \"10s\"");
+        let description = "is missing: partners drop repeats of a keyed message for some time only";
+        block.problem_at("repeat_window", description, "set it to that time, such as \"10s\"");
     }
     block.finish();
     class
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -20,14 +20,14 @@
     /// Path of the field, such as `partner "bank".rate`.
     pub field: String,
     /// What is wrong.
-    pub what: String,
+    pub description: String,
     /// What is allowed, or what to do.
     pub advice: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {} {}; {}", self.file, self.line, self.field, self.what, self.advice)
+        write!(f, "{}:{}: {} {}; {}", self.file, self.line, self.field, self.description, self.advice)
     }
 }
 
@@ -61,12 +61,12 @@
         self.starts.partition_point(|start| *start <= offset).max(1)
     }
 
-    pub fn report(&self, line: usize, field: &str, what: &str, advice: &str) {
+    pub fn report(&self, line: usize, field: &str, description: &str, advice: &str) {
         self.problems.borrow_mut().push(Problem {
             file: self.file.clone(),
             line: line.max(1),
             field: field.to_owned(),
-            what: what.to_owned(),
+            description: description.to_owned(),
             advice: advice.to_owned(),
         });
     }
@@ -104,15 +104,15 @@
     }
 
     /// Reports a problem of this block; `line` 0 means its own line.
-    pub fn problem(&self, line: usize, name: &str, what: &str, advice: &str) {
-        self.source.report(if line == 0 { self.line } else { line }, &self.field(name), what, advice);
+    pub fn problem(&self, line: usize, name: &str, description: &str, advice: &str) {
+        self.source.report(if line == 0 { self.line } else { line }, &self.field(name), description, advice);
     }
 
     /// Reports a problem of an attribute, at its line if it is present.
-    pub fn problem_at(&self, name: &str, what: &str, advice: &str) {
+    pub fn problem_at(&self, name: &str, description: &str, advice: &str) {
         let line =
             self.body.get_attribute(name).and_then(Span::span).map(|span| self.source.line(span.start));
-        self.problem(line.unwrap_or(0), name, what, advice);
+        self.problem(line.unwrap_or(0), name, description, advice);
     }
 
     fn value(&self, name: &str) -> Option<&'a Expression> {
@@ -299,8 +299,8 @@
     pub fn index_of(&self, field: &str, name: &str, defined: &[String]) -> Option<usize> {
         let found = defined.iter().position(|other| other == name);
         if found.is_none() {
-            let what = format!("names '{name}', which is not defined");
-            self.problem_at(field, &what, &format!("one of: {}", defined.join(", ")));
+            let description = format!("names '{name}', which is not defined");
+            self.problem_at(field, &description, &format!("one of: {}", defined.join(", ")));
         }
         found
     }
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Listener {
     /// Address to listen on; always present in checked settings.
-    pub listen: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Path for messages; deferred receipts come to this path followed by `/receipts`.
     pub path: String,
     /// Most connections at once.
@@ -73,9 +73,9 @@
     /// Most bytes of a message's head.
     pub max_head_bytes: usize,
     /// Longest time for a message's head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time for a whole message to arrive.
-    pub message_time: Duration,
+    pub message_timeout: Duration,
 }
 
 /// A program that submits messages.
@@ -90,13 +90,13 @@
     /// Index in [`Config::tenants`].
     pub tenant: u32,
     /// Whether its messages must be signed.
-    pub sign: bool,
+    pub requires_signature: bool,
     /// Whether its messages must be encrypted.
-    pub encrypt: bool,
+    pub requires_encryption: bool,
     /// Whether signatures with SHA-1 are accepted.
-    pub sha1: bool,
+    pub accepts_sha1: bool,
     /// Prefix of allowed URLs for deferred receipts; none: no URL is allowed.
-    pub receipts: Option<String>,
+    pub receipt_url_prefix: Option<String>,
 }
 
 /// Digest algorithms.
@@ -127,7 +127,7 @@
 
 /// The receipt that a partner is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Receipt {
+pub enum ReceiptMode {
     /// Signed, in the HTTP response.
     Signed,
     /// Not signed, in the HTTP response.
@@ -154,15 +154,15 @@
     /// Priority weight of one of them against those for other partners.
     pub priority_weight: f64,
     /// Digest of signatures; none: not signed.
-    pub sign: Option<Digest>,
+    pub signature_digest: Option<Digest>,
     /// Content cipher; none: not encrypted.
-    pub encrypt: Option<Cipher>,
+    pub content_cipher: Option<Cipher>,
     /// Whether to compress before signing.
     pub compress: bool,
     /// The requested receipt.
-    pub receipt: Receipt,
+    pub receipt_mode: ReceiptMode,
     /// Digest requested in receipts; none: that of the signature.
-    pub mic: Option<Digest>,
+    pub mic_digest: Option<Digest>,
     /// Its failover tiers, the preferred one first; empty: all its endpoints are equal.
     pub tiers: Vec<Tier>,
     /// Share of the messages for a lost tier that may spill over to the next one, from 0 to 1.
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -78,7 +78,7 @@
     assert_eq!(config.policy.tenants[0].quota, 40.0);
     assert_eq!(config.listener.max_body_bytes, 2 << 20);
     let partner = &config.partners[0];
-    assert_eq!((partner.rate, partner.receipt), (12.5, Receipt::Async));
+    assert_eq!((partner.rate, partner.receipt_mode), (12.5, ReceiptMode::Async));
     assert_eq!(
         (partner.endpoints[1].zone, partner.endpoints[1].state),
         (1, cloverstile::EndpointState::Draining)
