--- a/crates/as2-gateway/src/test_cluster.rs
+++ b/crates/as2-gateway/src/test_cluster.rs
@@ -53,7 +53,7 @@
     /// Keys and certificates of the clients.
     pub clients: Arc<Vec<Identity>>,
     /// Settings files, one for each gateway.
-    pub files: Vec<PathBuf>,
+    pub settings_files: Vec<PathBuf>,
     folder: PathBuf,
     certificates: Vec<Certificate>,
 }
@@ -74,7 +74,7 @@
 /// Makes the station of a partner. The gateways find another certificate than its own where the specification says so.
 fn make_partner(folder: &Path, partner: &PartnerSpec) -> Result<FakePartner, TestClusterError> {
     let identity = Arc::new(make_station(folder, &partner.name, partner.key)?);
-    if partner.mismatched {
+    if partner.certificate_mismatch {
         make_station(folder, &partner.name, partner.key)?;
     }
     Ok(FakePartner {
@@ -111,10 +111,12 @@
         let fake_partners: Vec<FakePartner> =
             spec.partners.iter().map(|partner| make_partner(folder, partner)).collect::<Result<_, _>>()?;
         let partners = Partners::start(fake_partners, certificates_by_name, recorder.clone(), seed)?;
-        let files = (0..spec.gateways).map(|number| folder.join(format!("courier-{number}.hcl"))).collect();
+        let settings_files =
+            (0..spec.gateways).map(|number| folder.join(format!("courier-{number}.hcl"))).collect();
         let clients = Arc::new(clients);
         let folder = folder.to_owned();
-        let mut cluster = TestCluster { spec, recorder, partners, clients, files, folder, certificates };
+        let mut cluster =
+            TestCluster { spec, recorder, partners, clients, settings_files, folder, certificates };
         for number in 0..cluster.spec.gateways {
             cluster.write_settings(number, SocketAddr::from(([127, 0, 0, 1], 0)), &BTreeSet::new())?;
         }
@@ -142,12 +144,12 @@
         };
         let new = self.folder.join(format!("courier-{gateway}.new"));
         fs::write(&new, input.to_hcl())?;
-        fs::rename(new, &self.files[gateway])?;
+        fs::rename(new, &self.settings_files[gateway])?;
         Ok(())
     }
 
     /// Addresses and certificates of the gateways for clients, once the gateways listen.
-    pub fn gateways(&self, addresses: Vec<SocketAddr>) -> GatewaySet {
+    pub fn gateway_set(&self, addresses: Vec<SocketAddr>) -> GatewaySet {
         GatewaySet {
             running: addresses.iter().map(|_| AtomicBool::new(true)).collect(),
             names: (0..addresses.len()).map(gateway_name).collect(),
--- a/crates/as2-gateway/src/test_cluster/settings_text.rs
+++ b/crates/as2-gateway/src/test_cluster/settings_text.rs
@@ -46,7 +46,7 @@
             self.gateway % spec.zones.max(1),
             spec.gateway_settings,
             self.listen,
-            spec.blocks,
+            spec.rule_and_kind_blocks,
         )
     }
 
@@ -54,7 +54,7 @@
         let profile = &partner.profile;
         let rate = profile.limit.unwrap_or_else(|| profile.capacity());
         let encrypt = if partner.key == NewKey::P256 { "none" } else { "aes128-cbc" };
-        let receipt = if partner.deferred { "async" } else { "signed" };
+        let receipt = if partner.async_receipts { "async" } else { "signed" };
         let mut text = format!(
             "\npartner \"{0}\" {{\n  certificate = \"{0}.crt\"\n  kind = \"{1}\"\n  rate = {rate}\n  \
              encrypt = \"{encrypt}\"\n  receipt = \"{receipt}\"\n",
--- a/crates/as2-gateway/src/test_cluster/spec.rs
+++ b/crates/as2-gateway/src/test_cluster/spec.rs
@@ -18,9 +18,9 @@
     /// Kind of its key; content is encrypted for it where that is RSA.
     pub key: NewKey,
     /// Whether its receipts are asynchronous.
-    pub deferred: bool,
+    pub async_receipts: bool,
     /// Whether the gateways hold another certificate than its own.
-    pub mismatched: bool,
+    pub certificate_mismatch: bool,
     /// Share that may spill to the next tier, with its zones as tiers in order; none: no failover between tiers.
     pub spill_share: Option<f64>,
 }
@@ -62,7 +62,7 @@
     /// Further lines for the block `courier` of the settings.
     pub gateway_settings: String,
     /// The blocks `rules` and `kind` of the settings.
-    pub blocks: String,
+    pub rule_and_kind_blocks: String,
 }
 
 /// AS2 name of a gateway instance.
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -72,11 +72,11 @@
         let spec = scenario::cluster_spec(usize::from(self.gateways), self.rate);
         let cluster = TestCluster::build(folder, spec, recorder.clone(), self.seed)?;
         let mut running = Vec::new();
-        for (number, file) in cluster.files.iter().enumerate() {
+        for (number, file) in cluster.settings_files.iter().enumerate() {
             running.push(start_gateway(number, file, self.seed ^ number as u64)?);
         }
         let addresses = running.iter().map(|gateway| gateway.address).collect();
-        self.send_messages(&cluster, &cluster.gateways(addresses), &recorder)?;
+        self.send_messages(&cluster, &cluster.gateway_set(addresses), &recorder)?;
         for gateway in running {
             gateway.shutdown_handle.shut_down();
             // A gateway that panicked has printed so; messages that it left unanswered are in the table.
--- a/crates/cli/src/demo/scenario.rs
+++ b/crates/cli/src/demo/scenario.rs
@@ -27,7 +27,7 @@
         repeat_window: Duration::from_secs(5),
         priority_weight,
     };
-    let partner = |name: &str, kind: &str, share: f64, key, deferred| PartnerSpec {
+    let partner = |name: &str, kind: &str, share: f64, key, async_receipts| PartnerSpec {
         name: name.into(),
         kind: kind.into(),
         profile: ServerProfile {
@@ -38,8 +38,8 @@
         },
         zones: vec![0, 0],
         key,
-        deferred,
-        mismatched: false,
+        async_receipts,
+        certificate_mismatch: false,
         spill_share: None,
     };
     ClusterSpec {
@@ -55,7 +55,7 @@
 ,
         zones: 1,
         gateway_settings: "  call_slots = 100\n  most_held = 4000\n  stop_within = \"5s\"".into(),
-        blocks: "rules {\n  answer_slack = \"300ms\"\n  order_settle = \"50ms\"\n  cold = \"4s\"\n  fall = \"1s\"\n}\n\
+        rule_and_kind_blocks: "rules {\n  answer_slack = \"300ms\"\n  order_settle = \"50ms\"\n  cold = \"4s\"\n  fall = \"1s\"\n}\n\
                  kind \"banks\" {}\nkind \"employers\" {}"
             .into(),
     }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -39,8 +39,8 @@
         profile: ServerProfile::default(),
         zones: vec![0],
         key: NewKey::P256,
-        deferred: false,
-        mismatched: false,
+        async_receipts: false,
+        certificate_mismatch: false,
         spill_share: None,
     };
     let class = ClassSpec {
@@ -60,7 +60,7 @@
         classes: vec![class],
         zones: 1,
         gateway_settings: "  stop_within = \"2s\"".into(),
-        blocks: "kind \"any\" {}\nrules { answer_slack = \"300ms\" }".into(),
+        rule_and_kind_blocks: "kind \"any\" {}\nrules { answer_slack = \"300ms\" }".into(),
     }
 }
 
@@ -73,11 +73,11 @@
 fn world_of(name: &str, spec: ClusterSpec, settings: impl Fn(String) -> String) -> World {
     let folder = std::env::temp_dir().join(format!("cloverstile-program-{}-{name}", std::process::id()));
     let cluster = TestCluster::build(&folder, spec, Recorder::default(), 1).unwrap();
-    let text = fs::read_to_string(&cluster.files[0]).unwrap();
-    fs::write(&cluster.files[0], settings(text)).unwrap();
+    let text = fs::read_to_string(&cluster.settings_files[0]).unwrap();
+    fs::write(&cluster.settings_files[0], settings(text)).unwrap();
     let mut gateway = Command::new(PROGRAM)
         .arg("serve")
-        .arg(&cluster.files[0])
+        .arg(&cluster.settings_files[0])
         .args(["--announce", "--log", "error"])
         .stdout(Stdio::piped())
         .spawn()
@@ -265,7 +265,7 @@
 #[test]
 fn check_reports_invalid_settings_and_keys() {
     let world = world("check");
-    let file = &world.cluster.files[0];
+    let file = &world.cluster.settings_files[0];
     assert_eq!(check(file).0, Some(0));
     let good = fs::read_to_string(file).unwrap();
     let bad = world.folder.join("bad.hcl");
--- a/crates/testbench/src/benchmark/memory.rs
+++ b/crates/testbench/src/benchmark/memory.rs
@@ -66,13 +66,13 @@
     cluster_spec.gateway_settings = "  call_slots = 8\n  most_held = 1000000\n  stop_within = \"1s\"".into();
     let recorder = Recorder::default();
     let cluster = TestCluster::build(folder, cluster_spec, recorder.clone(), 1)?;
-    let text = std::fs::read_to_string(&cluster.files[0])?;
-    std::fs::write(&cluster.files[0], text.replace("connections = 4000", "connections = 20000"))?;
-    let started = command.start(&cluster.files[0], 0)?;
+    let text = std::fs::read_to_string(&cluster.settings_files[0])?;
+    std::fs::write(&cluster.settings_files[0], text.replace("connections = 4000", "connections = 20000"))?;
+    let started = command.start(&cluster.settings_files[0], 0)?;
     let of_connections = bytes_of_connections(&started.process, started.address, connections)?;
     let fault = Fault::Silent;
     cluster.partners.send(PartnerCommand::Fault { partner: 0, fault, zone: None, duration: SILENCE });
-    let gateways = cluster.gateways(vec![started.address]);
+    let gateways = cluster.gateway_set(vec![started.address]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let [mut plan, _] = scenario.plan_messages(&mut rng, 1, recorder.now());
     plan.iter_mut().for_each(|planned| planned.body = vec![b'x'; CONTENT_LENGTH]);
--- a/crates/testbench/src/benchmark/sockets.rs
+++ b/crates/testbench/src/benchmark/sockets.rs
@@ -39,7 +39,7 @@
         format!("  call_slots = 64\n  most_held = 1000000\n  stop_within = \"5s\"\n  workers = {workers}");
     let recorder = Recorder::default();
     let cluster = TestCluster::build(folder, cluster_spec, recorder.clone(), 1)?;
-    let (config, directory) = load(&cluster.files[0]).map_err(TestClusterError::Load)?;
+    let (config, directory) = load(&cluster.settings_files[0]).map_err(TestClusterError::Load)?;
     let (started, start) = std::sync::mpsc::channel();
     let gateway = std::thread::spawn(move || {
         let mut service = Service::start(config, directory, None, 1).ok()?;
@@ -47,7 +47,7 @@
         service.run().ok()
     });
     let (address, stopper) = start.recv().map_err(|_| TestClusterError::Start(0))?;
-    let gateways = cluster.gateways(vec![address]);
+    let gateways = cluster.gateway_set(vec![address]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let [plan, _] = scenario.plan_messages(&mut rng, 1, recorder.now());
     let progress = Progress::default();
--- a/crates/testbench/src/scenario/cluster.rs
+++ b/crates/testbench/src/scenario/cluster.rs
@@ -34,7 +34,7 @@
                 "  call_slots = {concurrency}\n  most_held = 4000\n  stop_within = \"4s\"\n  workers = {}",
                 self.workers
             ),
-            blocks: self.rule_blocks(),
+            rule_and_kind_blocks: self.rule_blocks(),
         }
     }
 
@@ -78,8 +78,8 @@
         },
         zones: partner.endpoint_zones(),
         key: if partner.encrypted { NewKey::Rsa2048 } else { NewKey::P256 },
-        deferred: partner.deferred,
-        mismatched: partner.certificate_mismatch,
+        async_receipts: partner.deferred,
+        certificate_mismatch: partner.certificate_mismatch,
         spill_share: partner.spill_share,
     }
 }
--- a/crates/testbench/src/scenario_run/gateways.rs
+++ b/crates/testbench/src/scenario_run/gateways.rs
@@ -54,7 +54,7 @@
         };
         for number in 0..count {
             let StartedGateway { process, address } =
-                command.start(&gateways.cluster.files[number], number)?;
+                command.start(&gateways.cluster.settings_files[number], number)?;
             gateways.processes.push(Some(process));
             gateways.addresses.push(address);
             // One that is started again must be found where it was.
@@ -65,7 +65,7 @@
 
     /// Addresses and states of the gateways, as the clients see them.
     pub fn client_view(&self) -> GatewaySet {
-        self.cluster.gateways(self.addresses.clone())
+        self.cluster.gateway_set(self.addresses.clone())
     }
 
     /// Identities of the clients.
@@ -153,7 +153,7 @@
 
     /// Starts a gateway again that was killed or stopped.
     pub fn restart(&mut self, gateway: usize, clients: &GatewaySet) -> Result<(), RunError> {
-        let started = self.command.start(&self.cluster.files[gateway], gateway)?;
+        let started = self.command.start(&self.cluster.settings_files[gateway], gateway)?;
         self.processes[gateway] = Some(started.process);
         self.recorder.record(ObservedEvent::GatewayProcess { gateway, running: true, killed: false });
         clients.running[gateway].store(true, Ordering::Relaxed);
