--- a/crates/as2/src/algorithm.rs
+++ b/crates/as2/src/algorithm.rs
@@ -1,20 +1,21 @@
-//! Digest algorithms and content ciphers that messages, receipts and CMS structures share.
+//! Digest algorithms and content ciphers of messages, receipts and CMS structures.
 
-/// Digest algorithms of signatures and integrity checks.
+/// Digest algorithms of signatures and message integrity checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Digest {
-    /// SHA-1: only to verify signatures and for integrity checks, and only where a peer's settings ask for it.
+    /// SHA-1: only for verifying signatures and for integrity checks, and only if the settings of the peer request it;
+    /// signing with it is an error.
     Sha1,
-    /// SHA-256, the default.
+    /// SHA-256, the default where a message names no digest.
     Sha256,
-    /// SHA-384.
+    /// SHA-384; signatures with RSA keys only.
     Sha384,
-    /// SHA-512.
+    /// SHA-512; signatures with RSA keys only.
     Sha512,
 }
 
 impl Digest {
-    /// Computes the digest of these bytes.
+    /// Returns the digest of `bytes`.
     pub fn of(self, bytes: &[u8]) -> Vec<u8> {
         let algorithm = match self {
             Digest::Sha1 => &aws_lc_rs::digest::SHA1_FOR_LEGACY_USE_ONLY,
@@ -25,7 +26,7 @@
         aws_lc_rs::digest::digest(algorithm, bytes).as_ref().to_vec()
     }
 
-    /// The name in `micalg` (RFC 5751, section 3.4.3.2).
+    /// The name in the `micalg` parameter (RFC 5751, section 3.4.3.2).
     pub fn name(self) -> &'static str {
         match self {
             Digest::Sha1 => "sha-1",
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Parses a name in any spelling in use, such as `sha1`, `SHA-256` or `sha256`; none if unknown.
+    /// Parses a name regardless of case, hyphens and underscores, such as `sha1`, `SHA-256` or `sha256`; `None` if
+    /// it is unknown.
     pub fn parse(name: &str) -> Option<Digest> {
         match name.trim().to_ascii_lowercase().replace(['-', '_'], "").as_str() {
             "sha1" | "rsasha1" => Some(Digest::Sha1),
@@ -47,21 +49,21 @@
     }
 }
 
-/// Ciphers of encrypted content.
+/// Ciphers for content encryption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cipher {
-    /// AES with 128 bits, CBC.
+    /// AES-128 in CBC mode.
     Aes128Cbc,
-    /// AES with 256 bits, CBC.
+    /// AES-256 in CBC mode.
     Aes256Cbc,
-    /// AES with 128 bits, GCM; for peers that name it.
+    /// AES-128 in GCM mode; only for peers that support `AuthEnvelopedData` (RFC 5083).
     Aes128Gcm,
-    /// AES with 256 bits, GCM; for peers that name it.
+    /// AES-256 in GCM mode; only for peers that support `AuthEnvelopedData` (RFC 5083).
     Aes256Gcm,
 }
 
 impl Cipher {
-    /// Length of a key in bytes.
+    /// Length of the content key in bytes.
     pub(crate) fn key_length(self) -> usize {
         match self {
             Cipher::Aes128Cbc | Cipher::Aes128Gcm => 16,
--- a/crates/as2/src/ber/tests.rs
+++ b/crates/as2/src/ber/tests.rs
@@ -1,4 +1,4 @@
-//! Conversion of indefinite lengths and segmented strings, and malformed input.
+//! Conversion of indefinite lengths and segmented octet strings, and errors for malformed input.
 
 use super::to_der;
 use crate::As2Error;
--- a/crates/as2/src/keys.rs
+++ b/crates/as2/src/keys.rs
@@ -1,4 +1,4 @@
-//! Private keys and certificates.
+//! Parsing of private keys and certificates, and checks that a key type supports its use.
 
 use crate::As2Error;
 use aws_lc_rs::rsa::{
@@ -10,22 +10,24 @@
 use der::{Decode, DecodePem, Encode};
 use x509_cert::Certificate as X509;
 
-/// Key types and their uses.
+/// Supported key types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
-    /// RSA of 2048 bits or more: signatures and key transport.
+    /// RSA with 2048 bits or more, for signatures and key transport.
     Rsa,
-    /// ECDSA on P-256: signatures only.
+    /// ECDSA on P-256, for signatures only.
     P256,
 }
 
-/// A peer's certificate. It is trusted because the settings name it; the issuer is not checked.
+/// A certificate of a peer or of an own identity. It is trusted because the settings name it; neither its issuer nor
+/// its validity period is checked here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Certificate {
     pub(crate) x509: X509,
     pub(crate) kind: KeyKind,
-    /// The subject's public key as its algorithm encodes it: `RSAPublicKey`, or a point.
+    /// The content of `subjectPublicKey`: a DER `RSAPublicKey`, or an elliptic curve point.
     pub(crate) public_key: Vec<u8>,
+    /// The `SubjectPublicKeyInfo` in DER.
     spki: Vec<u8>,
 }
 
@@ -44,7 +46,7 @@
         Self::from_x509(x509)
     }
 
-    /// Parses a DER certificate like [`Certificate::from_pem`].
+    /// Parses a DER certificate under the same conditions as [`Certificate::from_pem`].
     ///
     /// # Errors
     ///
@@ -87,17 +89,17 @@
         Ok(Certificate { x509, kind, public_key, spki })
     }
 
-    /// Whether content can be encrypted for this certificate.
+    /// Whether content can be encrypted for this certificate, which needs an RSA key.
     pub fn can_receive_encrypted(&self) -> bool {
         self.kind == KeyKind::Rsa
     }
 
-    /// The subject name.
+    /// The subject's distinguished name as text (RFC 4514).
     pub fn subject(&self) -> String {
         self.x509.tbs_certificate.subject.to_string()
     }
 
-    /// Start and end of its validity, in seconds since 1970.
+    /// Start and end of the validity period, in seconds since the Unix epoch.
     pub fn validity(&self) -> (u64, u64) {
         let validity = &self.x509.tbs_certificate.validity;
         (validity.not_before.to_unix_duration().as_secs(), validity.not_after.to_unix_duration().as_secs())
@@ -130,17 +132,17 @@
     P256(EcdsaKeyPair),
 }
 
-/// An AS2 identity of our own: name, certificate and private key.
+/// An AS2 identity that signs and decrypts: name, certificate and private key.
 pub struct Identity {
-    /// Its AS2 name, without quotes.
+    /// AS2 name, without quotes.
     pub name: String,
-    /// The certificate that its peers have.
+    /// Certificate of the private key; peers hold a copy to verify signatures and to encrypt.
     pub certificate: Certificate,
     pub(crate) key: PrivateKey,
 }
 
 impl std::fmt::Debug for Identity {
-    /// Without the key.
+    /// Omits the private key, so that it does not reach logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Identity").field("name", &self.name).finish_non_exhaustive()
     }
@@ -151,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// If either is malformed or not supported, or they don't belong together.
+    /// If either is malformed or not supported, or the key does not belong to the certificate.
     pub fn from_pem(name: &str, key_pem: &str, certificate_pem: &str) -> Result<Identity, As2Error> {
         let certificate = Certificate::from_pem(certificate_pem)?;
         let (label, pkcs8) = der::pem::decode_vec(key_pem.trim().as_bytes())
@@ -160,12 +162,12 @@
             let problem = format!("PEM label '{label}'; 'PRIVATE KEY' (PKCS#8, not encrypted) is needed");
             return Err(As2Error::Key("private key", problem));
         }
-        let refused = |error: aws_lc_rs::error::KeyRejected| As2Error::Key("private key", error.to_string());
+        let rejected = |error: aws_lc_rs::error::KeyRejected| As2Error::Key("private key", error.to_string());
         let unusable = |_| As2Error::Key("private key", "can't be used for decryption".into());
         let (key, public) = match certificate.kind {
             KeyKind::Rsa => {
-                let sign = RsaKeyPair::from_pkcs8(&pkcs8).map_err(refused)?;
-                let decrypting = || PrivateDecryptingKey::from_pkcs8(&pkcs8).map_err(refused);
+                let sign = RsaKeyPair::from_pkcs8(&pkcs8).map_err(rejected)?;
+                let decrypting = || PrivateDecryptingKey::from_pkcs8(&pkcs8).map_err(rejected);
                 let public = sign.public_key().as_ref().to_vec();
                 let pkcs1 = Pkcs1PrivateDecryptingKey::new(decrypting()?).map_err(unusable)?;
                 let oaep = OaepPrivateDecryptingKey::new(decrypting()?).map_err(unusable)?;
@@ -173,7 +175,7 @@
             }
             KeyKind::P256 => {
                 let pair =
-                    EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_ASN1_SIGNING, &pkcs8).map_err(refused)?;
+                    EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_ASN1_SIGNING, &pkcs8).map_err(rejected)?;
                 let public = pair.public_key().as_ref().to_vec();
                 (PrivateKey::P256(pair), public)
             }
--- a/crates/as2/src/lib.rs
+++ b/crates/as2/src/lib.rs
@@ -1,17 +1,17 @@
-//! AS2 (RFC 4130): composes and opens messages and receipts. No I/O and no clock; the only outside input is the
-//! randomness for content keys and signatures, which the cryptographic library draws itself.
+//! AS2 (RFC 4130): composes and opens messages and receipts. The crate does no I/O and reads no clock; its only
+//! non-deterministic input is the randomness that the cryptographic library draws for keys, nonces and signatures.
 //!
-//! [`compose`] and [`open`] are inverse to each other, as are [`compose_receipt`] and [`read_receipt`]. Input is bounded
-//! in size and depth; malformed input is an [`As2Error`], never a panic.
+//! [`compose`] and [`open`] are inverse to each other, as are [`compose_receipt`] and [`read_receipt`]. [`LIMITS`]
+//! bounds header size, nesting and decompressed size; malformed input returns an [`As2Error`] and never panics.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `algorithm` | digests and ciphers |
-//! | `ber` | BER to DER, as some peers send CMS structures in BER |
+//! | `algorithm` | digest algorithms and content ciphers |
+//! | `ber` | conversion of BER to DER; some products encode CMS structures in BER |
 //! | `mime` | MIME parts, content types, transfer encodings |
-//! | `keys`, `issue` | certificates and private keys; new self-signed ones |
+//! | `keys`, `issue` | parsing of certificates and private keys; generation of self-signed ones |
 //! | `secure` | CMS: signing, encryption, compression |
-//! | `message`, `receipt` | AS2 messages and receipts (MDN) |
+//! | `message`, `receipt` | AS2 messages and receipts (message disposition notifications) |
 #![forbid(unsafe_code)]
 
 mod algorithm;
--- a/crates/as2/src/message.rs
+++ b/crates/as2/src/message.rs
@@ -1,57 +1,59 @@
-//! AS2 messages: composing and opening them, and the HTTP header fields they use (RFC 4130, sections 2 to 6).
+//! AS2 messages: composing, opening, and the HTTP header fields they use (RFC 4130, sections 2 to 6).
 
-use crate::mime::{canonical_lines, ContentType, Part, LIMITS};
-use crate::mime::{from_base64, split_multipart, split_outside_quotes, to_base64, to_base64_lines, unquote};
-use crate::secure::{self, Wrapping};
+use crate::mime::{canonicalize_line_endings, ContentType, Part, LIMITS};
+use crate::mime::{
+    decode_base64, encode_base64, encode_base64_lines, split_multipart, split_outside_quotes, unquote,
+};
+use crate::secure::{self, ContentKind};
 use crate::{As2Error, Certificate, Cipher, Digest, Identity};
 use cloverstile_http::Headers;
 
-/// A message integrity check (RFC 4130, section 7.3.1).
+/// A message integrity check (RFC 4130, section 7.3.1), which shows the sender which bytes arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mic {
-    /// Digest of the bytes that the RFC names for this protection.
+    /// Digest of the bytes that the RFC specifies for the protection of the message.
     pub value: Vec<u8>,
-    /// The digest algorithm.
+    /// Algorithm of the digest.
     pub digest: Digest,
 }
 
 impl Mic {
-    /// The value of `Received-Content-MIC`.
+    /// The value for `Received-Content-MIC`.
     pub fn to_header_value(&self) -> String {
-        format!("{}, {}", to_base64(&self.value), self.digest.name())
+        format!("{}, {}", encode_base64(&self.value), self.digest.name())
     }
 
-    /// Parses a `Received-Content-MIC` value; none if malformed.
+    /// Parses a `Received-Content-MIC` value; `None` if it is malformed or its digest algorithm is unknown.
     pub fn parse(text: &str) -> Option<Mic> {
         let (value, digest) = text.rsplit_once(',')?;
-        Some(Mic { value: from_base64(value.as_bytes()).ok()?, digest: Digest::parse(digest)? })
+        Some(Mic { value: decode_base64(value.as_bytes()).ok()?, digest: Digest::parse(digest)? })
     }
 }
 
 /// The receipt that a sender requests (RFC 4130, section 7.3).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceiptRequest {
-    /// URL for a deferred receipt; none for one in the HTTP response.
+    /// URL for an asynchronous receipt; `None` requests it in the HTTP response.
     pub deliver_to: Option<String>,
-    /// Digests in order of preference; empty for an unsigned receipt.
+    /// Digests for the signature and the integrity check, in order of preference; empty requests an unsigned receipt.
     pub signed: Vec<Digest>,
 }
 
-/// Protection of a message.
+/// Protection of a message and the receipt that it requests.
 #[derive(Clone, Debug)]
 pub struct Security {
-    /// Digest of the signature; none: not signed.
+    /// Digest of the signature; `None` leaves the message unsigned.
     pub sign: Option<Digest>,
-    /// Content cipher; none: not encrypted.
+    /// Content cipher; `None` leaves the message unencrypted.
     pub encrypt: Option<Cipher>,
-    /// Compressed before the signature (RFC 5402).
+    /// Whether to compress, before signing and encrypting (RFC 5402).
     pub compress: bool,
-    /// The requested receipt; none: no receipt.
+    /// The requested receipt; `None` requests none.
     pub receipt: Option<ReceiptRequest>,
 }
 
 impl Default for Security {
-    /// Signed with SHA-256, encrypted with AES-128 in CBC, a signed receipt in the response.
+    /// Signed with SHA-256 and encrypted with AES-128 in CBC mode; requests a signed receipt in the HTTP response.
     fn default() -> Self {
         Security {
             sign: Some(Digest::Sha256),
@@ -62,34 +64,34 @@
     }
 }
 
-/// The receiver of a message.
+/// The recipient of a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Recipient<'a> {
     /// AS2 name, without quotes.
     pub name: &'a str,
-    /// Its certificate.
+    /// Certificate to encrypt for.
     pub certificate: &'a Certificate,
 }
 
-/// A message to be sent.
+/// A message to compose.
 #[derive(Clone, Debug)]
 pub struct OutgoingMessage<'a> {
-    /// `Message-ID` without angle brackets. It is the idempotency key and the same in all attempts.
+    /// `Message-ID` without angle brackets. It is the idempotency key, so all attempts must use the same one.
     pub message_id: &'a str,
-    /// The payload: header fields (at least `Content-Type`) and bytes without transfer encoding.
+    /// Payload: header fields, with `Content-Type` at least, and a body without transfer encoding.
     pub payload: &'a Part,
-    /// `Subject`, for human readers.
+    /// Value of `Subject`, for human readers.
     pub subject: Option<&'a str>,
 }
 
-/// A message or receipt ready to be sent by HTTP.
+/// A message or receipt that is ready to be sent over HTTP.
 #[derive(Clone, Debug)]
 pub struct ComposedMessage {
-    /// HTTP header fields, without those of the connection.
+    /// HTTP header fields, except those of the connection, such as `Host` and `Content-Length`.
     pub headers: Headers,
-    /// Its body.
+    /// HTTP body.
     pub body: Vec<u8>,
-    /// Integrity check that the receipt must return.
+    /// Integrity check that the receipt of this message must return.
     pub mic: Mic,
 }
 
@@ -106,7 +108,7 @@
     unquote(field.trim())
 }
 
-/// The AS2 name of the sender, for looking up its certificate.
+/// Returns the AS2 name of the sender. It is not authenticated and serves to look up the sender's certificate.
 ///
 /// # Errors
 ///
@@ -115,25 +117,26 @@
     headers.get("as2-from").map(unquote_name).ok_or(As2Error::Missing("AS2-From"))
 }
 
-/// A multipart boundary that does not occur in these parts, derived from their digest.
-pub(crate) fn boundary(parts: &[&[u8]]) -> String {
+/// Returns a multipart boundary that does not occur in `parts`. It is derived from their digest, so equal parts get an
+/// equal boundary.
+pub(crate) fn choose_boundary(parts: &[&[u8]]) -> String {
     let all = parts.concat();
-    let mut salt = 0_u8;
+    let mut counter = 0_u8;
     loop {
-        let hash = Digest::Sha256.of(&[&all[..], &[salt]].concat());
+        let hash = Digest::Sha256.of(&[&all[..], &[counter]].concat());
         let hex: String = hash.iter().take(15).map(|b| format!("{b:02x}")).collect();
         let text = format!("=_{hex}");
         if !all.windows(text.len()).any(|window| window == text.as_bytes()) {
             return text;
         }
-        salt = salt.wrapping_add(1);
+        counter = counter.wrapping_add(1);
     }
 }
 
 /// Signs content as `multipart/signed` (RFC 1847).
 pub(crate) fn signed_part(content: &[u8], signer: &Identity, digest: Digest) -> Result<Part, As2Error> {
-    let signature = to_base64_lines(&secure::sign(content, signer, digest)?);
-    let boundary = boundary(&[content]);
+    let signature = encode_base64_lines(&secure::sign(content, signer, digest)?);
+    let boundary = choose_boundary(&[content]);
     let mut body = Vec::with_capacity(content.len() + signature.len() + 512);
     body.extend_from_slice(format!("--{boundary}\r\n").as_bytes());
     body.extend_from_slice(content);
@@ -155,7 +158,8 @@
     Ok(Part { headers, body })
 }
 
-fn wrapped(kind: &str, body: Vec<u8>) -> Part {
+/// A part that carries a CMS structure; `kind` is its `smime-type`.
+fn cms_part(kind: &str, body: Vec<u8>) -> Part {
     let headers = Headers::new()
         .with("Content-Type", format!("application/pkcs7-mime; smime-type={kind}; name=\"smime.p7m\""))
         .with("Content-Transfer-Encoding", "binary")
@@ -163,9 +167,10 @@
     Part { headers, body }
 }
 
-/// Composes a message: compressed, then signed, then encrypted, each where the security asks for it.
+/// Composes a message: compressed, then signed, then encrypted, each if `security` requests it.
 ///
 /// # Errors
+///
 /// If a certificate or key does not support the requested protection.
 pub fn compose(
     message: &OutgoingMessage,
@@ -173,28 +178,29 @@
     to: Recipient,
     security: &Security,
 ) -> Result<ComposedMessage, As2Error> {
-    // The receipt's integrity check is by the digest asked for first, as `open` has it.
-    let asked = security.receipt.as_ref().and_then(|request| request.signed.first().copied());
-    let digest = asked.or(security.sign).unwrap_or(Digest::Sha256);
+    // The integrity check uses the first digest of the receipt request; `open` applies the same rule.
+    let requested = security.receipt.as_ref().and_then(|request| request.signed.first().copied());
+    let digest = requested.or(security.sign).unwrap_or(Digest::Sha256);
     let mut part = message.payload.clone();
     if part.headers.get("content-transfer-encoding").is_none() {
         part.headers.add("Content-Transfer-Encoding", "binary");
     }
-    // RFC 4130, section 7.3.1: without a signature or encryption the fields don't count, else they do.
-    let bare = security.sign.is_none() && security.encrypt.is_none() && !security.compress;
-    let mut covered = if bare { part.body.clone() } else { part.to_bytes() };
+    // The integrity check covers the header fields of the payload only if the message is signed, encrypted or
+    // compressed (RFC 4130, section 7.3.1).
+    let unprotected = security.sign.is_none() && security.encrypt.is_none() && !security.compress;
+    let mut covered = if unprotected { part.body.clone() } else { part.to_bytes() };
     if security.compress {
-        part = wrapped("compressed-data", secure::compress(&part.to_bytes())?);
-        // What is signed counts; it is the compressed part then (RFC 5402, section 4).
+        part = cms_part("compressed-data", secure::compress(&part.to_bytes())?);
+        // With a signature, the check covers the signed bytes, here the compressed part (RFC 5402, section 4).
         covered = if security.sign.is_some() { part.to_bytes() } else { covered };
     }
     if let Some(digest) = security.sign {
         part = signed_part(&part.to_bytes(), from, digest)?;
     }
     if let Some(cipher) = security.encrypt {
-        part = wrapped("enveloped-data", secure::encrypt(&part.to_bytes(), to.certificate, cipher)?);
+        part = cms_part("enveloped-data", secure::encrypt(&part.to_bytes(), to.certificate, cipher)?);
         if matches!(cipher, Cipher::Aes128Gcm | Cipher::Aes256Gcm) {
-            part.headers = wrapped("authEnveloped-data", Vec::new()).headers;
+            part.headers = cms_part("authEnveloped-data", Vec::new()).headers;
         }
     }
     let mut headers = Headers::new()
@@ -224,13 +230,13 @@
     Ok(ComposedMessage { headers, body: part.body, mic: Mic { value: digest.of(&covered), digest } })
 }
 
-/// A message's HTTP header fields, readable without opening the content, so that a message that can't be opened still
-/// gets a receipt.
+/// The AS2 header fields of a message. They are parsed without opening the content, so that a message that can't be
+/// opened still gets a receipt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// AS2 name of the sender, not authenticated.
+    /// AS2 name of the sender, without quotes; not authenticated.
     pub from: String,
-    /// AS2 name of the receiver.
+    /// AS2 name of the recipient, without quotes.
     pub to: String,
     /// `Message-ID` without angle brackets.
     pub message_id: String,
@@ -239,11 +245,11 @@
 }
 
 impl Envelope {
-    /// Reads the header fields (RFC 4130, section 6).
+    /// Parses the header fields (RFC 4130, section 6).
     ///
     /// # Errors
     ///
-    /// If one is missing, or `Message-ID` is empty or too long.
+    /// If one is missing, or `Message-ID` is empty or longer than 255 bytes.
     pub fn parse(headers: &Headers) -> Result<Envelope, As2Error> {
         let name = |field: &'static str| headers.get(field).map(unquote_name).ok_or(As2Error::Missing(field));
         let (from, to) = (name("AS2-From")?, name("AS2-To")?);
@@ -252,11 +258,11 @@
         if message_id.is_empty() || message_id.len() > 255 {
             return Err(As2Error::LimitExceeded("Message-ID length (1 at least)", 255));
         }
-        Ok(Envelope { from, to, message_id, receipt: read_request(headers) })
+        Ok(Envelope { from, to, message_id, receipt: parse_receipt_request(headers) })
     }
 }
 
-fn read_request(headers: &Headers) -> Option<ReceiptRequest> {
+fn parse_receipt_request(headers: &Headers) -> Option<ReceiptRequest> {
     headers.get("disposition-notification-to")?;
     let options = headers.get("disposition-notification-options").unwrap_or_default();
     let signed = split_outside_quotes(options, ';').iter().find_map(|option| {
@@ -269,27 +275,27 @@
     Some(ReceiptRequest { deliver_to, signed: signed.unwrap_or_default() })
 }
 
-/// An opened message.
+/// A decrypted, verified and decompressed message.
 #[derive(Clone, Debug)]
 pub struct OpenedMessage {
-    /// The payload without transfer encoding.
+    /// Payload, with its transfer encoding decoded.
     pub payload: Part,
     /// Integrity check to return in the receipt.
     pub mic: Mic,
-    /// Digest of its signature, if it was signed; the signature is verified.
+    /// Digest of the verified signature; `None` if the message was not signed.
     pub signed: Option<Digest>,
-    /// Whether it was encrypted.
+    /// Whether the message was encrypted.
     pub encrypted: bool,
-    /// Whether it was compressed.
+    /// Whether the message was compressed.
     pub compressed: bool,
 }
 
-/// Opens a message: decrypts, verifies with the certificate of the sender, and decompresses. Whether the protection was
-/// sufficient is for the caller to check.
+/// Opens a message: decrypts it with the key of `identity`, verifies it with the sender's certificate `from`, and
+/// decompresses it. The caller must check that the protection was sufficient: an unprotected message is opened too.
 ///
 /// # Errors
 ///
-/// If it is malformed, can't be decrypted or verified, or goes over a bound.
+/// If it is malformed, can't be decrypted or verified, or is over one of the [`LIMITS`].
 pub fn open(
     headers: &Headers,
     body: &[u8],
@@ -298,14 +304,14 @@
     receipt: Option<&ReceiptRequest>,
 ) -> Result<OpenedMessage, As2Error> {
     let mut part = Part { headers: content_fields(headers), body: body.to_vec() };
-    let mut opened = Opening { covered: None, signed: None, encrypted: false, compressed: false };
+    let mut state = OpeningState { covered: None, signed: None, encrypted: false, compressed: false };
     for _ in 0..LIMITS.layers {
-        match opened.unwrap(&part, identity, from) {
+        match state.remove_layer(&part, identity, from) {
             Ok(Some(inner)) => part = inner,
-            Ok(None) => return opened.finish(&part, receipt),
-            // Guards against padding oracles: all failures after decryption and before a verified signature must
-            // look alike, or responses reveal the plain text to an attacker.
-            Err(_) if opened.encrypted && opened.signed.is_none() && !opened.is_signed_part(&part) => {
+            Ok(None) => return state.finish(&part, receipt),
+            // Until a signature is verified, all failures after decryption must be indistinguishable. Otherwise
+            // responses form a padding oracle that reveals the plain text to an attacker.
+            Err(_) if state.encrypted && state.signed.is_none() && !state.is_signed_part(&part) => {
                 return Err(As2Error::Decrypt)
             }
             Err(error) => return Err(error),
@@ -314,6 +320,7 @@
     Err(As2Error::LimitExceeded("wrappings in one another", LIMITS.layers))
 }
 
+/// The header fields that describe the content (`Content-*`), except `Content-Length`, which belongs to HTTP.
 fn content_fields(headers: &Headers) -> Headers {
     let mut fields = Headers::new();
     for (name, value) in headers.iter().filter(|(name, _)| name.to_ascii_lowercase().starts_with("content-"))
@@ -325,47 +332,48 @@
     fields
 }
 
-struct Opening {
-    /// The bytes that the integrity check covers, once a layer has determined them.
+/// Progress in removing the layers of a message, from the outermost inwards.
+struct OpeningState {
+    /// The bytes that the integrity check covers; `None` until a layer determines them.
     covered: Option<Vec<u8>>,
     signed: Option<Digest>,
     encrypted: bool,
     compressed: bool,
 }
 
-impl Opening {
+impl OpeningState {
     fn is_signed_part(&self, part: &Part) -> bool {
-        part.content_type().name == "multipart/signed"
+        part.content_type().media_type == "multipart/signed"
     }
 
-    /// Removes one layer of protection; none if there is none.
-    fn unwrap(
+    /// Removes the outermost layer of protection; `None` if the part has none.
+    fn remove_layer(
         &mut self,
         part: &Part,
         identity: &Identity,
         from: &Certificate,
     ) -> Result<Option<Part>, As2Error> {
         let kind = part.content_type();
-        match kind.name.as_str() {
-            "multipart/signed" => self.unwrap_signed(part, &kind, from).map(Some),
+        match kind.media_type.as_str() {
+            "multipart/signed" => self.remove_signature(part, &kind, from).map(Some),
             "application/pkcs7-mime" | "application/x-pkcs7-mime" => {
                 let bytes = part.decoded()?;
-                let inner = match secure::wrapping(&bytes)? {
-                    Wrapping::Signed => {
+                let inner = match secure::content_kind(&bytes)? {
+                    ContentKind::Signed => {
                         let (digest, inner) = secure::verify(&bytes, None, from)?;
                         self.record_signature(digest, &inner);
                         inner
                     }
-                    Wrapping::Encrypted => {
+                    ContentKind::Encrypted => {
                         let inner = secure::decrypt(&bytes, identity)?;
                         self.encrypted = true;
                         self.covered = self.covered.take().or_else(|| Some(inner.clone()));
                         inner
                     }
-                    Wrapping::Compressed => {
+                    ContentKind::Compressed => {
                         let inner = secure::decompress(&bytes)?;
                         self.compressed = true;
-                        // Unsigned: the check covers the uncompressed bytes.
+                        // Without a signature, the integrity check covers the uncompressed bytes.
                         if self.signed.is_none() {
                             self.covered = Some(inner.clone());
                         }
@@ -378,6 +386,7 @@
         }
     }
 
+    /// Records the outermost signature, which determines the integrity check; signatures inside it are ignored.
     fn record_signature(&mut self, digest: Digest, content: &[u8]) {
         if self.signed.is_none() {
             self.signed = Some(digest);
@@ -385,7 +394,7 @@
         }
     }
 
-    fn unwrap_signed(
+    fn remove_signature(
         &mut self,
         part: &Part,
         kind: &ContentType,
@@ -398,9 +407,11 @@
             return Err(As2Error::Mime("multipart/signed needs two parts"));
         };
         let signature = Part::parse(signature)?.decoded()?;
-        // Some products sign lines with CRLF but send them with LF alone.
+        // Some products sign CRLF line endings but send LF.
         let (digest, content) = match secure::verify(&signature, Some(content), from) {
-            Err(As2Error::Digest) => secure::verify(&signature, Some(&canonical_lines(content)), from)?,
+            Err(As2Error::Digest) => {
+                secure::verify(&signature, Some(&canonicalize_line_endings(content)), from)?
+            }
             other => other?,
         };
         self.record_signature(digest, &content);
--- a/crates/as2/src/mime.rs
+++ b/crates/as2/src/mime.rs
@@ -1,31 +1,31 @@
-//! MIME entities (RFC 2045, 2046): bytes kept exactly as they came, as digests are over them.
+//! MIME entities (RFC 2045, RFC 2046). Bodies keep the bytes that were received, because digests cover exactly those.
 
 use crate::As2Error;
 use base64::Engine as _;
 use cloverstile_http::Headers;
 
-/// What one entity may make us hold.
+/// Limits on the memory and work that one received entity may cause.
 pub struct Limits {
-    /// Bytes of a part's header fields.
+    /// Bytes of the header of a part.
     pub header_bytes: usize,
-    /// Wrappings (signed, encrypted, compressed) in one another.
+    /// Nested layers of protection (signature, encryption, compression).
     pub layers: usize,
-    /// Parts of one multipart.
+    /// Parts of one multipart body.
     pub parts: usize,
-    /// Bytes that a compressed part may unpack to.
+    /// Bytes that a compressed part may decompress to.
     pub decompressed_bytes: usize,
 }
 
-/// The bounds in force.
+/// The limits that parsing and opening enforce.
 pub const LIMITS: Limits =
     Limits { header_bytes: 16 << 10, layers: 8, parts: 16, decompressed_bytes: 64 << 20 };
 
-/// An entity: its fields and its body, transfer encoding still on.
+/// A MIME entity: header fields, and a body with its transfer encoding still applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its fields, unfolded.
+    /// Header fields, unfolded.
     pub headers: Headers,
-    /// Its body as it came.
+    /// Body, byte for byte as received.
     pub body: Vec<u8>,
 }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// If the header is malformed or goes over a bound.
+    /// If the header is malformed or over `LIMITS.header_bytes`.
     pub fn parse(bytes: &[u8]) -> Result<Part, As2Error> {
         let mut headers = Headers::new();
         let mut field: Option<(String, String)> = None;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The entity as bytes, lines ending in CRLF.
+    /// Serializes the entity; header lines end in CRLF, the body stays as it is.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 256);
         for (name, value) in self.headers.iter() {
@@ -80,39 +80,39 @@
         out
     }
 
-    /// The body with its transfer encoding decoded (RFC 2045, section 6).
+    /// Returns the body with its transfer encoding decoded (RFC 2045, section 6).
     ///
     /// # Errors
     ///
     /// If the encoding is unknown or the body is malformed.
     pub fn decoded(&self) -> Result<Vec<u8>, As2Error> {
-        decode(self.headers.get("content-transfer-encoding"), &self.body)
+        decode_transfer_encoding(self.headers.get("content-transfer-encoding"), &self.body)
     }
 
-    /// Its content type; text/plain where none is given (RFC 2045, section 5.2).
+    /// The parsed `Content-Type`; `text/plain` if it is absent (RFC 2045, section 5.2).
     pub fn content_type(&self) -> ContentType {
         ContentType::parse(self.headers.get("content-type").unwrap_or("text/plain"))
     }
 }
 
-fn decode(encoding: Option<&str>, body: &[u8]) -> Result<Vec<u8>, As2Error> {
+fn decode_transfer_encoding(encoding: Option<&str>, body: &[u8]) -> Result<Vec<u8>, As2Error> {
     match encoding.unwrap_or("binary").trim().to_ascii_lowercase().as_str() {
         "7bit" | "8bit" | "binary" => Ok(body.to_vec()),
-        "base64" => from_base64(body),
-        "quoted-printable" => quoted_printable(body),
+        "base64" => decode_base64(body),
+        "quoted-printable" => decode_quoted_printable(body),
         other => Err(As2Error::Algorithm("transfer encoding", other.to_owned())),
     }
 }
 
-/// Reads base64; whatever is no letter of its alphabet is passed over (RFC 2045, section 6.8).
-pub fn from_base64(text: &[u8]) -> Result<Vec<u8>, As2Error> {
-    let letters: Vec<u8> =
+/// Decodes base64 and ignores characters outside its alphabet (RFC 2045, section 6.8).
+pub fn decode_base64(text: &[u8]) -> Result<Vec<u8>, As2Error> {
+    let digits: Vec<u8> =
         text.iter().copied().filter(|b| b.is_ascii_alphanumeric() || matches!(b, b'+' | b'/')).collect();
-    base64::engine::general_purpose::STANDARD_NO_PAD.decode(letters).map_err(|_| As2Error::Mime("base64"))
+    base64::engine::general_purpose::STANDARD_NO_PAD.decode(digits).map_err(|_| As2Error::Mime("base64"))
 }
 
-/// Writes base64 in lines of 76.
-pub fn to_base64_lines(bytes: &[u8]) -> Vec<u8> {
+/// Encodes as base64 in lines of 76 characters that end in CRLF.
+pub fn encode_base64_lines(bytes: &[u8]) -> Vec<u8> {
     let text = base64::engine::general_purpose::STANDARD.encode(bytes);
     let mut out = Vec::with_capacity(text.len() + text.len() / 38 + 2);
     for line in text.as_bytes().chunks(76) {
@@ -122,12 +122,12 @@
     out
 }
 
-/// Writes base64 in one piece.
-pub fn to_base64(bytes: &[u8]) -> String {
+/// Encodes as base64 without line breaks.
+pub fn encode_base64(bytes: &[u8]) -> String {
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
 
-fn quoted_printable(body: &[u8]) -> Result<Vec<u8>, As2Error> {
+fn decode_quoted_printable(body: &[u8]) -> Result<Vec<u8>, As2Error> {
     let mut out = Vec::with_capacity(body.len());
     let mut at = 0;
     while let Some(&byte) = body.get(at) {
@@ -149,70 +149,71 @@
     Ok(out)
 }
 
-/// A `Content-Type` value, or another field of that shape.
+/// The value of `Content-Type`, or of another field with the same syntax.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ContentType {
-    /// Such as `multipart/signed`, in lower case.
-    pub name: String,
+    /// Media type in lower case, such as `multipart/signed`.
+    pub media_type: String,
     parameters: Vec<(String, String)>,
 }
 
 impl ContentType {
-    /// Reads a value with its parameters; quotes come off, comments are not expected here.
+    /// Parses a value and its parameters and unquotes parameter values. Comments (RFC 2045, section 5.1) are not
+    /// supported.
     pub fn parse(value: &str) -> ContentType {
         let mut pieces = split_outside_quotes(value, ';').into_iter();
-        let name = pieces.next().unwrap_or_default().trim().to_ascii_lowercase();
+        let media_type = pieces.next().unwrap_or_default().trim().to_ascii_lowercase();
         let parameters = pieces
             .filter_map(|piece| {
                 let (key, value) = piece.split_once('=')?;
                 Some((key.trim().to_ascii_lowercase(), unquote(value.trim())))
             })
             .collect();
-        ContentType { name, parameters }
+        ContentType { media_type, parameters }
     }
 
-    /// A parameter.
+    /// The first parameter with this name, which must be in lower case.
     pub fn parameter(&self, key: &str) -> Option<&str> {
         self.parameters.iter().find(|(known, _)| known == key).map(|(_, value)| value.as_str())
     }
 }
 
-/// Splits at a mark that stands outside quoted strings.
-pub fn split_outside_quotes(text: &str, mark: char) -> Vec<String> {
+/// Splits `text` at each separator outside quoted strings.
+pub fn split_outside_quotes(text: &str, separator: char) -> Vec<String> {
     let (mut pieces, mut quoted, mut escaped) = (vec![String::new()], false, false);
-    for letter in text.chars() {
-        if letter == mark && !quoted {
+    for character in text.chars() {
+        if character == separator && !quoted {
             pieces.push(String::new());
             continue;
         }
-        quoted ^= letter == '"' && !escaped;
-        escaped = quoted && letter == '\\' && !escaped;
+        quoted ^= character == '"' && !escaped;
+        escaped = quoted && character == '\\' && !escaped;
         if let Some(piece) = pieces.last_mut() {
-            piece.push(letter);
+            piece.push(character);
         }
     }
     pieces
 }
 
-/// Takes the quotes off a quoted string; other text stays as it is.
+/// Decodes a quoted string and its backslash escapes; other text is returned unchanged.
 pub fn unquote(text: &str) -> String {
     let Some(inner) = text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).filter(|_| text.len() > 1)
     else {
         return text.to_owned();
     };
     let (mut out, mut escaped) = (String::new(), false);
-    for letter in inner.chars() {
-        if letter == '\\' && !escaped {
+    for character in inner.chars() {
+        if character == '\\' && !escaped {
             escaped = true;
         } else {
-            out.push(letter);
+            out.push(character);
             escaped = false;
         }
     }
     out
 }
 
-/// The parts of a multipart, each exactly as it stands between its delimiters (RFC 2046, section 5.1.1).
+/// Splits a multipart body; each part is exactly the bytes between its delimiters (RFC 2046, section 5.1.1).
 pub fn split_multipart<'a>(body: &'a [u8], boundary: &str) -> Result<Vec<&'a [u8]>, As2Error> {
     if boundary.is_empty() || boundary.len() > 70 {
         return Err(As2Error::Mime("a boundary of no length, or of more than 70"));
@@ -244,8 +245,8 @@
     Err(As2Error::Mime("a multipart without its closing delimiter"))
 }
 
-/// Lone LF become CRLF.
-pub fn canonical_lines(bytes: &[u8]) -> Vec<u8> {
+/// Replaces each LF that has no CR before it by CRLF, the canonical line ending of MIME.
+pub fn canonicalize_line_endings(bytes: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(bytes.len() + 64);
     for (index, byte) in bytes.iter().enumerate() {
         if *byte == b'\n' && (index == 0 || bytes[index - 1] != b'\r') {
--- a/crates/as2/src/receipt.rs
+++ b/crates/as2/src/receipt.rs
@@ -1,20 +1,20 @@
-//! Receipts: message disposition notifications (RFC 8098) in the profile of AS2 (RFC 4130, section 7).
+//! Receipts: message disposition notifications (RFC 8098) as AS2 profiles them (RFC 4130, section 7).
 
-use crate::message::{boundary, quote_name, signed_part};
+use crate::message::{choose_boundary, quote_name, signed_part};
 use crate::mime::{split_multipart, ContentType, Part};
 use crate::{secure, As2Error, Certificate, ComposedMessage, Digest, Identity, Mic};
 use cloverstile_http::Headers;
 
-/// The result of a message in a receipt.
+/// The processing result of a message that a receipt reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Processed.
+    /// Processed without errors (`processed`).
     Processed,
-    /// Processed with a warning.
+    /// Processed with a warning (`processed/warning: ...`).
     Warning(String),
-    /// Not processed (`processed/error: ...`).
+    /// Not processed because of an error (`processed/error: ...`).
     Error(String),
-    /// Failed (`failed/failure: ...`).
+    /// Failed, for example because of an unsupported format (`failed/failure: ...`).
     Failure(String),
 }
 
@@ -29,7 +29,7 @@
         format!("automatic-action/MDN-sent-automatically; {disposition}")
     }
 
-    /// Parses the value of `Disposition`, in any case and spacing; none if unknown.
+    /// Parses the value of `Disposition`, ignoring case and spacing; `None` if the disposition type is unknown.
     fn parse(value: &str) -> Option<Disposition> {
         let disposition = value.split_once(';').map_or(value, |(_, rest)| rest).trim();
         let (kind, modifier) = disposition.split_once('/').unwrap_or((disposition, ""));
@@ -45,15 +45,15 @@
     }
 }
 
-/// A gateway's final outcome, in a machine-readable field of a receipt (`X-Cloverstile-Answer`, an extension field of
-/// RFC 8098, section 3.3).
+/// The gateway's final outcome of a message, as the receipt field `X-Cloverstile-Answer` reports it (an extension field
+/// by RFC 8098, section 3.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered: the partner's own receipt confirms it.
+    /// The partner's own receipt confirms the delivery.
     Delivered,
-    /// Rejected: it never took effect, so resubmission is safe.
+    /// The message never took effect, so resubmitting it is safe. Its field value is `refused`.
     Rejected,
-    /// Failed: it may have taken effect.
+    /// The message was not confirmed and may have taken effect.
     Failed,
 }
 
@@ -67,13 +67,15 @@
         }
     }
 
-    /// Parses the value of the field; none if unknown.
-    pub fn parse(word: &str) -> Option<Outcome> {
-        [Outcome::Delivered, Outcome::Rejected, Outcome::Failed].into_iter().find(|o| o.name() == word.trim())
+    /// Parses the value of the field; `None` if it is unknown.
+    pub fn parse(value: &str) -> Option<Outcome> {
+        [Outcome::Delivered, Outcome::Rejected, Outcome::Failed]
+            .into_iter()
+            .find(|o| o.name() == value.trim())
     }
 }
 
-/// The content of a receipt to compose.
+/// The content of a receipt to be composed.
 #[derive(Clone, Debug)]
 pub struct ReceiptContent<'a> {
     /// `Message-ID` of the receipt itself, without angle brackets.
@@ -82,23 +84,23 @@
     pub to: &'a str,
     /// `Message-ID` of the original message, without angle brackets.
     pub original_id: &'a str,
-    /// Result of the original message.
+    /// Processing result of the original message.
     pub disposition: Disposition,
-    /// Integrity check of the original message, if it was opened.
+    /// Integrity check of the original message; `None` if it could not be opened.
     pub mic: Option<&'a Mic>,
     /// Text for human readers.
     pub text: &'a str,
-    /// The gateway's final outcome, if it is one.
+    /// The gateway's final outcome; `None` omits the field.
     pub final_outcome: Option<Outcome>,
 }
 
-/// Composes a receipt, signed if `sign` names a digest.
+/// Composes a receipt from the identity `from`, signed if `sign` names a digest.
 ///
 /// # Errors
 ///
 /// If the identity can't sign with this digest.
 pub fn compose_receipt(
-    facts: &ReceiptContent,
+    receipt: &ReceiptContent,
     from: &Identity,
     sign: Option<Digest>,
 ) -> Result<ComposedMessage, As2Error> {
@@ -106,20 +108,20 @@
         .with("Reporting-UA", "cloverstile")
         .with("Original-Recipient", format!("rfc822; {}", quote_name(&from.name)))
         .with("Final-Recipient", format!("rfc822; {}", quote_name(&from.name)))
-        .with("Original-Message-ID", format!("<{}>", facts.original_id))
-        .with("Disposition", facts.disposition.to_field_value());
-    if let Some(mic) = facts.mic {
+        .with("Original-Message-ID", format!("<{}>", receipt.original_id))
+        .with("Disposition", receipt.disposition.to_field_value());
+    if let Some(mic) = receipt.mic {
         fields.add("Received-Content-MIC", mic.to_header_value());
     }
-    if let Some(outcome) = facts.final_outcome {
+    if let Some(outcome) = receipt.final_outcome {
         fields.add("X-Cloverstile-Answer", outcome.name());
     }
-    let text = format!("Content-Type: text/plain; charset=us-ascii\r\n\r\n{}\r\n", facts.text);
-    let machine = Part { headers: fields, body: Vec::new() }.to_bytes();
-    let boundary = boundary(&[text.as_bytes(), &machine]);
+    let text = format!("Content-Type: text/plain; charset=us-ascii\r\n\r\n{}\r\n", receipt.text);
+    let notification = Part { headers: fields, body: Vec::new() }.to_bytes();
+    let boundary = choose_boundary(&[text.as_bytes(), &notification]);
     let mut body = format!("--{boundary}\r\n{text}\r\n--{boundary}\r\n").into_bytes();
     body.extend_from_slice(b"Content-Type: message/disposition-notification\r\n\r\n");
-    body.extend_from_slice(&machine);
+    body.extend_from_slice(&notification);
     body.extend_from_slice(format!("\r\n--{boundary}--\r\n").as_bytes());
     let kind = format!("multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"");
     let report = Part { headers: Headers::new().with("Content-Type", kind), body };
@@ -131,8 +133,8 @@
     let mut headers = Headers::new()
         .with("AS2-Version", "1.2")
         .with("AS2-From", quote_name(&from.name))
-        .with("AS2-To", quote_name(facts.to))
-        .with("Message-ID", format!("<{}>", facts.receipt_id))
+        .with("AS2-To", quote_name(receipt.to))
+        .with("Message-ID", format!("<{}>", receipt.receipt_id))
         .with("MIME-Version", "1.0");
     headers.extend(&part.headers);
     let mic = Mic { value: digest.of(&part.body), digest };
@@ -144,19 +146,20 @@
 pub struct Receipt {
     /// `Message-ID` of the original message, without angle brackets.
     pub original_id: String,
-    /// Result of the original message.
+    /// Processing result of the original message.
     pub disposition: Disposition,
-    /// The returned integrity check.
+    /// The integrity check that the peer returned; `None` if it is absent or malformed.
     pub mic: Option<Mic>,
-    /// Whether it was signed; the signature is verified with the given certificate.
+    /// Whether it was signed, with a signature that verified with the certificate of its sender.
     pub signed: bool,
-    /// The gateway's final outcome, if there is one.
+    /// The gateway's final outcome; `None` if the field is absent or unknown.
     pub final_outcome: Option<Outcome>,
 }
 
 impl Receipt {
-    /// Checks that it proves the result of this message: the right message, signed where `signed` requires it, and for a
-    /// processed one the integrity check of the bytes that were sent.
+    /// Checks that the receipt proves the result of the message `message_id`: it names this message, is signed if
+    /// `signed` requires it, and for a processed message returns the integrity check `mic` of the bytes that were sent.
+    /// An absent integrity check is accepted if `signed` is false.
     ///
     /// # Errors
     ///
@@ -180,7 +183,7 @@
     }
 }
 
-/// Parses a receipt and verifies its signature with the certificate of its sender.
+/// Parses a receipt and verifies its signature, if it has one, with the certificate of its sender.
 ///
 /// # Errors
 ///
@@ -191,7 +194,7 @@
     let mut part = Part { headers: content, body: body.to_vec() };
     let mut signed = false;
     let kind = part.content_type();
-    if kind.name == "multipart/signed" {
+    if kind.media_type == "multipart/signed" {
         let parts = split_multipart(&part.body, boundary_of(&kind)?)?;
         let [report, signature] = parts[..] else {
             return Err(As2Error::Mime("multipart/signed needs two parts"));
@@ -202,13 +205,13 @@
         part = Part::parse(report)?;
     }
     let kind = part.content_type();
-    if kind.name != "multipart/report" {
+    if kind.media_type != "multipart/report" {
         return Err(As2Error::Mime("a receipt must be a multipart/report"));
     }
-    for piece in split_multipart(&part.body, boundary_of(&kind)?)? {
-        let piece = Part::parse(piece)?;
-        if piece.content_type().name == "message/disposition-notification" {
-            return read_fields(&piece, signed);
+    for entity in split_multipart(&part.body, boundary_of(&kind)?)? {
+        let entity = Part::parse(entity)?;
+        if entity.content_type().media_type == "message/disposition-notification" {
+            return parse_notification(&entity, signed);
         }
     }
     Err(As2Error::Mime("a report without a disposition notification"))
@@ -218,9 +221,9 @@
     kind.parameter("boundary").ok_or(As2Error::Mime("a multipart without a boundary"))
 }
 
-fn read_fields(piece: &Part, signed: bool) -> Result<Receipt, As2Error> {
-    // Some products leave out the empty line after the last field.
-    let mut text = piece.decoded()?;
+fn parse_notification(entity: &Part, signed: bool) -> Result<Receipt, As2Error> {
+    // Some products omit the empty line after the last field.
+    let mut text = entity.decoded()?;
     text.extend_from_slice(b"\r\n\r\n");
     let fields = Part::parse(&text)?.headers;
     let original = fields.get("original-message-id").ok_or(As2Error::Missing("Original-Message-ID"))?;
