--- a/crates/as2-gateway/src/context.rs
+++ b/crates/as2-gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! State that the AS2 server and the outbound client share: settings, engine, sockets, messages and timers.
+//! State shared by the AS2 server and the outbound client: settings, engine, sockets, messages and timers.
 
 use crate::crypto_pool::CryptoPool;
 use crate::directory::Directory;
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An event due at a time; its handler checks whether it still applies.
+/// An event that is due at a set time. Timers are not cancelled, so the handler checks whether the event still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A request arrives too slowly.
+    /// A request on an inbound connection has not arrived in time.
     RequestDeadline(ConnId),
-    /// An outbound connection takes too long to be established.
+    /// An outbound connection has not been established in time.
     ConnectTimeout(ConnId),
     /// An outbound connection has been idle for too long.
     IdleTimeout(ConnId),
@@ -27,29 +27,34 @@
     RetryDelivery(DeliveryId),
 }
 
-/// Where an endpoint of a partner is reached.
+/// How to reach an endpoint of a partner.
 #[derive(Clone)]
 pub(crate) struct EndpointAddress {
     /// Index in the partners of the settings.
     pub partner: usize,
+    /// Name of the endpoint in the settings, for log lines.
     pub name: String,
     pub address: SocketAddr,
+    /// Path of the URL that messages are posted to.
     pub path: String,
 }
 
-/// Shared state of one gateway.
+/// Shared state of one gateway instance.
 pub(crate) struct Context {
     pub config: Config,
+    /// Keys and certificates of the gateway, its clients and its partners.
     pub directory: Arc<Directory>,
     pub engine: Engine,
     pub net: Net,
     pub crypto_pool: CryptoPool<WorkerResult>,
+    /// Messages from their admission until the engine evicts their result.
     pub messages: HashMap<MessageId, InFlightMessage>,
     pub endpoints: HashMap<EndpointId, EndpointAddress>,
+    /// Pending timers, the earliest first.
     pub timers: BTreeSet<(Time, Timer)>,
-    /// The address listened on.
+    /// The address that the gateway listens on.
     pub address: SocketAddr,
-    /// The instant of [`Time::ZERO`].
+    /// The instant that [`Time::ZERO`] stands for.
     pub started_at: Instant,
 }
 
@@ -73,12 +78,12 @@
         Some(due.1)
     }
 
-    /// The client's id of a message; empty where the engine no longer knows it.
+    /// The idempotency key of a message, which is the client's message id; empty if the engine no longer holds it.
     pub fn idempotency_key(&self, message: MessageId) -> &str {
         self.engine.idempotency_key(message).unwrap_or_default()
     }
 
-    /// Where partners post asynchronous receipts.
+    /// The URL that partners post asynchronous receipts to.
     pub fn receipts_url(&self) -> String {
         format!("http://{}{}/receipts", self.address, self.config.listener.path)
     }
--- a/crates/as2-gateway/src/crypto_pool.rs
+++ b/crates/as2-gateway/src/crypto_pool.rs
@@ -1,4 +1,5 @@
-//! Pool of worker threads that run cryptographic jobs off the event loop and return results in order of submission.
+//! Pool of worker threads that run cryptographic jobs outside the event loop and return their results in order of
+//! submission.
 
 use cloverstile_net::Waker;
 use std::collections::{BTreeMap, VecDeque};
@@ -9,41 +10,44 @@
 
 type Job<T> = Box<dyn FnOnce() -> T + Send>;
 
-/// Worker threads for jobs; without any thread, jobs run in the calling thread.
+/// Worker threads for jobs; a pool of no threads runs each job in the calling thread.
 ///
-/// Results keep the order of the jobs: messages of one key must be admitted in order of arrival, however long each
-/// takes to open.
+/// Results come in the order in which the jobs were submitted: messages with the same order key must be admitted in
+/// order of arrival, however long each takes to decrypt and verify.
 pub(crate) struct CryptoPool<T> {
     jobs: Option<Sender<(u64, Job<T>)>>,
     results: Receiver<(u64, T)>,
     threads: Vec<JoinHandle<()>>,
     next_job_number: u64,
     next_result_number: u64,
+    /// Results that wait for the result of an earlier job, by job number.
     out_of_order: BTreeMap<u64, T>,
+    /// Results in order, not yet taken.
     ready: VecDeque<T>,
 }
 
 impl<T: Send + 'static> CryptoPool<T> {
-    /// Starts `threads` worker threads; `waker` is used after each result.
+    /// Starts `threads` worker threads, which wake the event loop with `waker` after each result.
     ///
     /// # Errors
-    /// A thread that can't be started.
+    /// Returns the system's error if a thread can't be started.
     pub(crate) fn new(threads: usize, waker: &Waker) -> io::Result<Self> {
-        let (jobs, inbox) = channel::<(u64, Job<T>)>();
-        let (outbox, results) = channel();
-        let inbox = Arc::new(Mutex::new(inbox));
+        let (jobs, job_receiver) = channel::<(u64, Job<T>)>();
+        let (result_sender, results) = channel();
+        let job_receiver = Arc::new(Mutex::new(job_receiver));
         let mut handles = Vec::new();
         for number in 0..threads {
-            let (inbox, outbox, waker) = (inbox.clone(), outbox.clone(), waker.clone());
-            let work = move || loop {
-                let next = inbox.lock().unwrap_or_else(PoisonError::into_inner).recv();
+            let (job_receiver, result_sender, waker) =
+                (job_receiver.clone(), result_sender.clone(), waker.clone());
+            let run_jobs = move || loop {
+                let next = job_receiver.lock().unwrap_or_else(PoisonError::into_inner).recv();
                 let Ok((number, job)) = next else { return };
-                if outbox.send((number, job())).is_err() {
+                if result_sender.send((number, job())).is_err() {
                     return;
                 }
                 waker.wake();
             };
-            handles.push(std::thread::Builder::new().name(format!("crypto-{number}")).spawn(work)?);
+            handles.push(std::thread::Builder::new().name(format!("crypto-{number}")).spawn(run_jobs)?);
         }
         Ok(CryptoPool {
             jobs: (threads > 0).then_some(jobs),
@@ -56,19 +60,19 @@
         })
     }
 
-    /// Runs a job on a worker thread, or at once where there is none.
+    /// Queues a job for the worker threads, or runs it at once if the pool has none.
     pub(crate) fn submit(&mut self, job: impl FnOnce() -> T + Send + 'static) {
         match &self.jobs {
             None => self.ready.push_back(job()),
             Some(jobs) => {
-                // Sending can't fail: the threads live as long as the sender does.
+                // Sending can't fail: the worker threads keep the receiver until the sender is dropped.
                 let _ = jobs.send((self.next_job_number, Box::new(job)));
                 self.next_job_number += 1;
             }
         }
     }
 
-    /// The next result in order of submission, if it is ready.
+    /// Takes the next result in order of submission; `None` if that job has not finished.
     pub(crate) fn next_result(&mut self) -> Option<T> {
         while let Ok((number, result)) = self.results.try_recv() {
             self.out_of_order.insert(number, result);
--- a/crates/as2-gateway/src/in_flight_message.rs
+++ b/crates/as2-gateway/src/in_flight_message.rs
@@ -1,17 +1,18 @@
-//! Messages that the gateway holds, and the clients that wait for their final outcome.
+//! Messages that the gateway holds, and the clients that wait for their final outcomes.
 
 use crate::identifiers::RequestId;
 use cloverstile_as2::{ComposedMessage, Envelope, Mic, Part};
 use cloverstile_http::Headers;
 use std::sync::Arc;
 
-/// A client that waits for the final outcome of a message.
+/// A client that waits for the receipt with the final outcome of a message.
 pub(crate) struct ReceiptWaiter {
-    /// The request to respond to; none: the receipt is posted to the address named in the envelope.
+    /// The request whose response carries the receipt; if none, the receipt is posted to the address that the envelope
+    /// names.
     pub request: Option<RequestId>,
     /// AS2 header fields of the submission.
     pub envelope: Envelope,
-    /// Integrity check over the submitted content.
+    /// Message integrity check (MIC) of the submitted content, which the receipt repeats.
     pub mic: Mic,
 }
 
@@ -19,21 +20,21 @@
 pub(crate) struct InFlightMessage {
     /// Index in the partners of the settings.
     pub partner: usize,
-    /// Content to be delivered; none once its composition has begun.
+    /// Content to deliver; none once composition has begun, which takes it.
     pub payload: Option<Part>,
-    /// The message as it is sent to the partner; none until it is composed.
+    /// The message as sent to the partner; none until it is composed.
     pub composed: Option<Arc<ComposedMessage>>,
-    /// Whether composition has begun.
+    /// Whether composition has begun; every attempt sends the message that was composed once.
     pub composing: bool,
     /// Clients to notify of the final outcome.
     pub waiters: Vec<ReceiptWaiter>,
 }
 
 impl InFlightMessage {
-    /// Drops the content and takes the waiting clients, once the final outcome is known.
+    /// Frees the content and returns the waiting clients; called when the final outcome is known.
     ///
-    /// Late receipts are still compared with the integrity check of the composed message, so that is kept without
-    /// headers and body.
+    /// The composed message keeps only its MIC, with which late receipts are still compared; its headers and body are
+    /// freed.
     pub fn complete(&mut self) -> Vec<ReceiptWaiter> {
         self.payload = None;
         if let Some(composed) = self.composed.take() {
--- a/crates/as2-gateway/src/lib.rs
+++ b/crates/as2-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! Gateway with AS2 clients and AS2 partners: submissions come in, the policy decides, messages go out, and each
-//! submission gets one signed receipt.
+//! Gateway between AS2 clients and AS2 partners: it accepts submissions, sends their messages to the partners as the
+//! delivery policy decides, and answers each submission with one signed receipt.
 //!
-//! This package is the shell: sockets, clocks, files, signals and threads are here, decisions are not. [`admission`]
-//! (what a message needs to be admitted) and [`response_mapping`] (what a partner's response means) are free of I/O.
+//! This crate does the I/O: sockets, clocks, files, signals and threads. The engine and its policy make the delivery
+//! decisions. [`admission`] (what a message needs to be admitted) and [`response_mapping`] (what a partner's response
+//! means) do no I/O.
 #![forbid(unsafe_code)]
 
 pub mod admission;
--- a/crates/as2-gateway/src/outbound_client.rs
+++ b/crates/as2-gateway/src/outbound_client.rs
@@ -1,4 +1,5 @@
-//! Outbound client: sends messages to partners in batches over pooled connections and reports the outcome of each attempt.
+//! Outbound client: sends messages to partners in batches over pooled connections and reports the outcome of each
+//! attempt to the engine.
 
 mod batch;
 mod connection_pool;
@@ -21,16 +22,16 @@
 use std::sync::Arc;
 use tracing::{debug, warn};
 
-/// State of the outbound client.
+/// Batches, attempts in progress and connections to the partners.
 #[derive(Default)]
 pub(crate) struct OutboundClient {
     batches: HashMap<BatchId, Batch>,
-    /// The batch that an attempt belongs to.
+    /// The batch of each attempt whose outcome has not been reported.
     attempts: HashMap<Attempt, BatchId>,
     pool: ConnectionPool,
-    /// Batches that wait for a message to be composed.
-    composing: HashMap<MessageId, BatchId>,
-    last_batch: u64,
+    /// The batch that waits for a message to be composed.
+    awaiting_composition: HashMap<MessageId, BatchId>,
+    last_batch_number: u64,
 }
 
 impl OutboundClient {
@@ -38,21 +39,23 @@
     pub fn send(&mut self, context: &mut Context, endpoint: EndpointId, attempts: Vec<Attempt>) {
         let mut queue = VecDeque::from(attempts);
         let Some(current) = queue.pop_front() else { return };
-        self.last_batch += 1;
-        let id = BatchId(self.last_batch);
+        self.last_batch_number += 1;
+        let id = BatchId(self.last_batch_number);
         for attempt in std::iter::once(&current).chain(&queue) {
             self.attempts.insert(*attempt, id);
             context.engine.set_attempt_started(*attempt, false);
         }
         self.batches.insert(id, Batch::new(endpoint, current, queue));
-        self.prepare(context, id);
+        self.prepare_attempt(context, id);
     }
 
-    /// Composes the current message if that is not done, acquires a connection, and sends once both are there.
-    fn prepare(&mut self, context: &mut Context, id: BatchId) {
+    /// Starts to compose the current message unless that is done, acquires a connection, and sends the request once
+    /// both are ready.
+    fn prepare_attempt(&mut self, context: &mut Context, id: BatchId) {
         let Some(batch) = self.batches.get(&id) else { return };
         let message = batch.current.message;
-        // A late receipt or the shutdown may have completed it since: nothing is sent after the final outcome.
+        // A late receipt or a shutdown may have completed the message since the decision to send it. Nothing may be
+        // sent after the final outcome.
         if !context.engine.is_pending(message) {
             return self.end_attempt(context, id, TransportOutcome::Unsent, None);
         }
@@ -60,7 +63,7 @@
             return self.end_attempt(context, id, TransportOutcome::Unsent, None);
         };
         if in_flight.composed.is_none() {
-            self.composing.insert(message, id);
+            self.awaiting_composition.insert(message, id);
             start_composing(context, message);
         }
         if let Some(batch) = self.batches.get_mut(&id).filter(|batch| batch.connection.id().is_none()) {
@@ -71,14 +74,14 @@
         self.send_if_ready(context, id);
     }
 
-    /// A message was composed on a worker thread.
+    /// Takes a message that a worker thread composed and sends it if its batch has a connection.
     pub fn on_message_composed(
         &mut self,
         context: &mut Context,
         message: MessageId,
         composed: Result<Box<ComposedMessage>, As2Error>,
     ) {
-        let batch = self.composing.remove(&message);
+        let batch = self.awaiting_composition.remove(&message);
         match composed {
             Ok(composed) => {
                 if let Some(in_flight) = context.messages.get_mut(&message) {
@@ -89,7 +92,7 @@
                 }
             }
             Err(error) => {
-                // The settings are checked for this; nothing was sent.
+                // Unexpected, because the settings were validated for it. Nothing was sent.
                 warn!(message_id = context.idempotency_key(message), %error, "message could not be composed");
                 if let Some(id) = batch {
                     self.end_attempt(context, id, TransportOutcome::Unsent, None);
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Sends the current attempt once its message is composed and its connection established.
+    /// Sends the request of the current attempt if its message is composed and its connection established.
     fn send_if_ready(&mut self, context: &mut Context, id: BatchId) {
         let now = context.now();
         let Some(batch) = self.batches.get_mut(&id) else { return };
@@ -112,8 +115,8 @@
         if !context.engine.is_pending(attempt.message) {
             return self.end_attempt(context, id, TransportOutcome::Unsent, None);
         }
-        // Guards against what came since the decision, while the message was composed or the connection established: a
-        // Retry-After, a drain, an outage, the end of the repeat window.
+        // Catches what happened since the policy's decision, while the message was being composed or the connection
+        // established: a Retry-After, a drain, an outage or the end of the retry window.
         if !context.engine.may_send_now(now, attempt) {
             return self.end_attempt(context, id, TransportOutcome::NotStarted, None);
         }
@@ -133,6 +136,7 @@
         context.net.send(connection, &bytes);
     }
 
+    /// Sends the request that waits for this connection, or ends the probe as successful.
     pub fn on_connected(&mut self, context: &mut Context, connection: ConnId) {
         match self.pool.use_of(connection) {
             Some(ConnectionUse::Batch(id, _)) => {
@@ -144,31 +148,33 @@
             }
             Some(&ConnectionUse::Probe { endpoint, started }) => {
                 self.pool.close(context, connection);
-                end_probe(context, endpoint, started, true);
+                report_probe(context, endpoint, started, true);
             }
             Some(ConnectionUse::Idle(_)) | None => {}
         }
     }
 
+    /// Ends the batch or the probe that the connection was opened for.
     pub fn on_connect_failed(&mut self, context: &mut Context, connection: ConnId) {
         match self.pool.remove(connection) {
-            Some(ConnectionUse::Batch(id, _)) => self.fail_unconnected(context, id),
+            Some(ConnectionUse::Batch(id, _)) => self.fail_unconnected_batch(context, id),
             Some(ConnectionUse::Probe { endpoint, started }) => {
                 context.net.close(connection);
-                end_probe(context, endpoint, started, false);
+                report_probe(context, endpoint, started, false);
             }
             Some(ConnectionUse::Idle(_)) | None => {}
         }
     }
 
-    /// Ends a batch whose connection was not established: none of its messages was sent.
-    fn fail_unconnected(&mut self, context: &mut Context, id: BatchId) {
+    /// Ends a batch whose connection could not be established; none of its remaining messages was sent.
+    fn fail_unconnected_batch(&mut self, context: &mut Context, id: BatchId) {
         let Some(batch) = self.batches.remove(&id) else { return };
         for attempt in std::iter::once(batch.current).chain(batch.queue) {
-            self.report(context, attempt, TransportOutcome::ConnectFailed, None);
+            self.report_outcome(context, attempt, TransportOutcome::ConnectFailed, None);
         }
     }
 
+    /// Treats a connection that is still not established as failed.
     pub fn on_connect_timeout(&mut self, context: &mut Context, connection: ConnId) {
         let connecting = match self.pool.use_of(connection) {
             Some(ConnectionUse::Batch(id, _)) => {
@@ -185,10 +191,11 @@
 
     // ---- Responses ----
 
+    /// Decodes bytes of a response and handles the response once it is complete.
     pub fn on_bytes(&mut self, context: &mut Context, connection: ConnId, bytes: &[u8]) {
         let now = context.since_start();
         let Some(ConnectionUse::Batch(id, decoder)) = self.pool.use_of_mut(connection) else {
-            // Bytes without a request: the connection is of no further use.
+            // The endpoint sent bytes without a request, so the connection can't be used again.
             self.on_closed(context, connection);
             return context.net.close(connection);
         };
@@ -206,8 +213,8 @@
     }
 
     fn on_response(&mut self, context: &mut Context, id: BatchId, message: Message) {
-        let awaited = |batch: &&mut Batch| batch.stage == AttemptStage::AwaitingResponse;
-        let Some(batch) = self.batches.get_mut(&id).filter(awaited) else { return };
+        let is_awaiting_response = |batch: &&mut Batch| batch.stage == AttemptStage::AwaitingResponse;
+        let Some(batch) = self.batches.get_mut(&id).filter(is_awaiting_response) else { return };
         let StartLine::Response { status } = message.start_line else { return };
         let attempt = batch.current;
         batch.rate_limit = rate_limit_status(&message.headers);
@@ -228,25 +235,26 @@
             (false, _) if in_flight.composed.is_none() => {}
             (false, _) => {
                 batch.stage = AttemptStage::VerifyingReceipt;
-                start_verifying(context, id, attempt, message);
+                start_verifying_receipt(context, id, attempt, message);
             }
         }
     }
 
-    /// The receipt in a response was verified on a worker thread.
+    /// Ends the attempt whose receipt a worker thread verified.
     pub fn on_response_verified(&mut self, context: &mut Context, verified: VerifiedResponse) {
         let VerifiedResponse { batch: id, attempt, outcome, error } = verified;
-        let awaited =
+        let is_verifying =
             |batch: &Batch| batch.stage == AttemptStage::VerifyingReceipt && batch.current == attempt;
-        if self.batches.get(&id).is_some_and(awaited) {
+        if self.batches.get(&id).is_some_and(is_verifying) {
             self.end_attempt(context, id, outcome, error);
         } else if outcome == TransportOutcome::Processed {
-            // The connection was lost or the attempt expired while the receipt was being verified.
+            // The attempt was abandoned while its receipt was being verified; the receipt still counts for the message.
             context.engine.on_receipt(context.now(), attempt.message, outcome);
         }
     }
 
-    fn report(
+    /// Reports the outcome of an attempt to the engine, unless that was done or the attempt abandoned.
+    fn report_outcome(
         &mut self,
         context: &mut Context,
         attempt: Attempt,
@@ -258,7 +266,8 @@
         }
     }
 
-    /// Ends the current attempt of a batch and goes on with the next one.
+    /// Reports the outcome of a batch's current attempt and starts the next one. `error` is logged as the reason why
+    /// the response was rejected.
     fn end_attempt(
         &mut self,
         context: &mut Context,
@@ -275,19 +284,21 @@
             let message_id = context.idempotency_key(attempt.message);
             warn!(message_id, attempt = attempt.number, partner, %error, "response rejected");
         }
-        self.report(context, attempt, outcome, rate_limit);
-        self.start_next(context, id);
+        self.report_outcome(context, attempt, outcome, rate_limit);
+        self.start_next_attempt(context, id);
     }
 
-    /// The current attempt goes on without the connection: its receipt is asynchronous.
+    /// Starts the next attempt while the current one waits for its asynchronous receipt, which comes over another
+    /// connection.
     fn detach_attempt(&mut self, context: &mut Context, id: BatchId) {
         if let Some(batch) = self.batches.get(&id) {
             self.attempts.remove(&batch.current);
         }
-        self.start_next(context, id);
+        self.start_next_attempt(context, id);
     }
 
-    fn start_next(&mut self, context: &mut Context, id: BatchId) {
+    /// Starts the next attempt of a batch, or releases the connection after the last one.
+    fn start_next_attempt(&mut self, context: &mut Context, id: BatchId) {
         let Some(batch) = self.batches.get_mut(&id) else { return };
         batch.stage = AttemptStage::Preparing;
         if !batch.keep_alive {
@@ -298,7 +309,7 @@
         }
         if let Some(next) = batch.queue.pop_front() {
             batch.current = next;
-            self.prepare(context, id);
+            self.prepare_attempt(context, id);
         } else if let Some(batch) = self.batches.remove(&id) {
             self.pool.release(context, batch.endpoint, batch.connection);
         }
@@ -306,10 +317,11 @@
 
     // ---- Connections that end without a response ----
 
+    /// Handles a connection that the endpoint closed or that broke.
     pub fn on_closed(&mut self, context: &mut Context, connection: ConnId) {
         match self.pool.remove(connection) {
             Some(ConnectionUse::Batch(id, mut decoder)) => match decoder.on_connection_end() {
-                // A response without a length ends with its connection.
+                // The end of the connection completes a response that has no Content-Length.
                 Ok(Some(message)) => {
                     if let Some(batch) = self.batches.get_mut(&id) {
                         batch.connection = BatchConnection::None;
@@ -320,62 +332,67 @@
             },
             Some(ConnectionUse::Probe { endpoint, started }) => {
                 context.net.close(connection);
-                end_probe(context, endpoint, started, false);
+                report_probe(context, endpoint, started, false);
             }
             Some(ConnectionUse::Idle(_)) | None => {}
         }
     }
 
-    /// The connection of a batch was lost: what was not sent is reported as such, the request in flight with `outcome`.
+    /// Handles the loss of a batch's connection: the request in flight is reported with `outcome`, requests that were
+    /// not sent as unsent.
     fn on_connection_lost(&mut self, context: &mut Context, id: BatchId, outcome: TransportOutcome) {
         let Some(batch) = self.batches.get_mut(&id) else { return };
         batch.connection = BatchConnection::None;
         match batch.stage {
-            // It had not been used for this message: a new one is acquired.
-            AttemptStage::Preparing => self.prepare(context, id),
-            // The response has arrived; its receipt decides.
+            // Nothing of this message was sent over it, so another connection is acquired.
+            AttemptStage::Preparing => self.prepare_attempt(context, id),
+            // The response has arrived completely; its receipt determines the outcome.
             AttemptStage::VerifyingReceipt => batch.keep_alive = true,
             AttemptStage::AwaitingResponse => {
                 let Some(batch) = self.batches.remove(&id) else { return };
-                // The policy goes by the last outcome of a batch: the one that says what happened is reported last.
+                // The policy acts on the last outcome of a batch, so the outcome of the request in flight, which tells
+                // what happened, is reported last.
                 for unsent in batch.queue {
-                    self.report(context, unsent, TransportOutcome::Unsent, None);
+                    self.report_outcome(context, unsent, TransportOutcome::Unsent, None);
                 }
-                self.report(context, batch.current, outcome, None);
+                self.report_outcome(context, batch.current, outcome, None);
             }
         }
     }
 
-    /// Gives an attempt up; its outcome is not reported.
+    /// Abandons an attempt; its outcome is not reported.
     pub fn abandon(&mut self, context: &mut Context, attempt: Attempt) {
         let Some(id) = self.attempts.remove(&attempt) else { return };
         let Some(batch) = self.batches.get_mut(&id) else { return };
         if batch.current != attempt {
             return batch.queue.retain(|queued| *queued != attempt);
         }
-        // Its response must not be taken for the next message's.
+        // The connection is closed so that a response to this attempt can't be taken for the next message's.
         if let Some(connection) = batch.take_connection() {
             self.pool.close(context, connection);
         }
-        self.start_next(context, id);
+        self.start_next_attempt(context, id);
     }
 
     // ---- Idle connections and probes ----
 
+    /// Closes a connection whose idle timer fired, unless it is in use.
     pub fn on_idle_timeout(&mut self, context: &mut Context, connection: ConnId) {
         self.pool.on_idle_timeout(context, connection);
     }
 
+    /// Closes all idle connections to an endpoint.
     pub fn close_idle(&mut self, context: &mut Context, endpoint: EndpointId) {
         self.pool.close_idle(context, endpoint);
     }
 
+    /// Opens a connection to learn whether the endpoint accepts it; the result is reported to the engine.
     pub fn probe(&mut self, context: &mut Context, endpoint: EndpointId) {
         self.pool.probe(context, endpoint);
     }
 }
 
-/// Composes a message on a worker thread, unless that has begun.
+/// Starts to compose a message on a worker thread, unless that has begun already.
 fn start_composing(context: &mut Context, message: MessageId) {
     let receipts_url = context.receipts_url();
     let message_id = context.idempotency_key(message).to_owned();
@@ -395,17 +412,17 @@
     });
 }
 
-/// Verifies the receipt in a response on a worker thread.
-fn start_verifying(context: &mut Context, batch: BatchId, attempt: Attempt, response: Message) {
+/// Starts to verify the receipt in a response on a worker thread.
+fn start_verifying_receipt(context: &mut Context, batch: BatchId, attempt: Attempt, response: Message) {
     let Some(in_flight) = context.messages.get(&attempt.message) else { return };
     let Some(composed) = in_flight.composed.clone() else { return };
     let certificate = context.directory.partners[in_flight.partner].clone();
-    let signed = context.config.partners[in_flight.partner].receipt_mode != ReceiptMode::Unsigned;
+    let requires_signature = context.config.partners[in_flight.partner].receipt_mode != ReceiptMode::Unsigned;
     let message_id = context.idempotency_key(attempt.message).to_owned();
     context.crypto_pool.submit(move || {
         let receipt = read_receipt(&response.headers, &response.body, &certificate);
         let verified = receipt.and_then(|receipt| {
-            receipt.check(&message_id, &composed.mic, signed)?;
+            receipt.check(&message_id, &composed.mic, requires_signature)?;
             Ok(outcome_of_receipt(&receipt))
         });
         let (outcome, error) = match verified {
@@ -416,7 +433,8 @@
     });
 }
 
-fn end_probe(context: &mut Context, endpoint: EndpointId, started: Time, connected: bool) {
+/// Reports the result of a probe, and the time that it took, to the engine.
+fn report_probe(context: &mut Context, endpoint: EndpointId, started: Time, connected: bool) {
     let now = context.now();
     context.engine.on_probe_completed(now, endpoint, connected, now - started);
 }
--- a/crates/as2-gateway/src/outbound_client/batch.rs
+++ b/crates/as2-gateway/src/outbound_client/batch.rs
@@ -1,29 +1,29 @@
-//! A batch: attempts that are sent one after another over one connection, and how far the current one is.
+//! Batches: attempts that are sent one after another over one connection, and the stage of the current one.
 
 use cloverstile::{EndpointId, RateLimitStatus};
 use cloverstile_engine::Attempt;
 use cloverstile_net::ConnId;
 use std::collections::VecDeque;
 
-/// How far the current attempt of a batch is.
+/// Stage of the current attempt of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptStage {
-    /// Its message is being composed, or its connection established: nothing of it has been sent.
+    /// The message is being composed or the connection established; nothing of the request has been sent.
     Preparing,
-    /// The request is sent; the response is awaited.
+    /// The request has been sent, and its response has not arrived completely.
     AwaitingResponse,
-    /// The receipt in the response is being verified.
+    /// The response has arrived, and a worker thread is verifying its receipt.
     VerifyingReceipt,
 }
 
-/// The connection of a batch.
+/// The connection of a batch and whether it can carry requests yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchConnection {
-    /// None: one is acquired before the next request.
+    /// The batch has no connection; one is acquired before the next request.
     None,
     /// Being established.
     Connecting(ConnId),
-    /// Ready for a request.
+    /// Established, and so ready for a request.
     Established(ConnId),
 }
 
@@ -45,17 +45,17 @@
     }
 }
 
-/// Attempts that share a connection to an endpoint.
+/// Attempts that are sent to an endpoint one after another over one connection.
 pub(crate) struct Batch {
     pub endpoint: EndpointId,
     pub current: Attempt,
-    /// Attempts that follow the current one.
+    /// Attempts still to be sent after the current one.
     pub queue: VecDeque<Attempt>,
     pub connection: BatchConnection,
     pub stage: AttemptStage,
     /// Rate limit advertised in the response to the current attempt.
     pub rate_limit: Option<RateLimitStatus>,
-    /// Whether the partner lets the connection be used again.
+    /// Whether the last response allows further requests on the connection.
     pub keep_alive: bool,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Detaches the connection from the batch.
+    /// Detaches the connection from the batch and returns it; it stays open.
     pub fn take_connection(&mut self) -> Option<ConnId> {
         std::mem::replace(&mut self.connection, BatchConnection::None).id()
     }
--- a/crates/as2-gateway/src/outbound_client/connection_pool.rs
+++ b/crates/as2-gateway/src/outbound_client/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Outbound connections: those in use, idle ones kept for reuse, and probes.
+//! Pool of outbound connections: those in use, idle ones kept for reuse, and probes.
 
 use crate::context::{Context, Timer};
 use crate::identifiers::BatchId;
@@ -12,11 +12,11 @@
 
 /// What an outbound connection is used for.
 pub(crate) enum ConnectionUse {
-    /// Requests of a batch.
+    /// Sends the requests of a batch; the decoder reads their responses.
     Batch(BatchId, Box<Decoder>),
-    /// Kept for reuse.
+    /// Idle, kept for reuse.
     Idle(EndpointId),
-    /// A check whether the endpoint accepts connections, since `started`.
+    /// Checks whether the endpoint accepts connections; opened at `started`.
     Probe { endpoint: EndpointId, started: Time },
 }
 
@@ -24,8 +24,9 @@
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     connections: HashMap<ConnId, ConnectionUse>,
-    /// Idle connections of an endpoint, the one used last at the end.
+    /// Idle connections of each endpoint, the most recently used last.
     idle: HashMap<EndpointId, Vec<ConnId>>,
+    /// Idle connections of all endpoints together.
     idle_count: usize,
 }
 
@@ -38,7 +39,7 @@
         self.connections.get_mut(&connection)
     }
 
-    /// Forgets a connection and returns what it was used for. An idle one is no longer offered for reuse.
+    /// Removes a connection from the pool without closing it, and returns what it was used for.
     pub fn remove(&mut self, connection: ConnId) -> Option<ConnectionUse> {
         let removed = self.connections.remove(&connection)?;
         if let ConnectionUse::Idle(endpoint) = removed {
@@ -47,13 +48,14 @@
         Some(removed)
     }
 
-    /// Forgets and closes a connection.
+    /// Removes a connection from the pool and closes it.
     pub fn close(&mut self, context: &mut Context, connection: ConnId) {
         self.remove(connection);
         context.net.close(connection);
     }
 
-    /// Takes an idle connection to an endpoint or opens a new one; none where the endpoint is not known.
+    /// Takes the most recently used idle connection to an endpoint or opens a new one; `None` if the endpoint is
+    /// unknown.
     pub fn acquire(
         &mut self,
         context: &mut Context,
@@ -74,7 +76,7 @@
         Some(connection)
     }
 
-    /// Keeps a connection for reuse, or closes it where enough are kept.
+    /// Keeps an established connection for reuse. Any other is closed, as is one above the limit of idle connections.
     pub fn release(&mut self, context: &mut Context, endpoint: EndpointId, connection: BatchConnection) {
         let Some(id) = connection.id() else { return };
         let keep = connection.established().is_some()
@@ -89,9 +91,10 @@
         context.set_timer(context.now() + timeout, Timer::IdleTimeout(id));
     }
 
-    /// Closes a connection that has been idle for too long.
+    /// Closes a connection whose idle timer fired, unless it is in use.
     ///
-    /// One that was used since has a further timer; it is closed early at worst, never while in use.
+    /// A connection that was used and released after the timer was set has a later timer as well. The earlier one may
+    /// close it before its idle timeout is over, but never while it is in use.
     pub fn on_idle_timeout(&mut self, context: &mut Context, connection: ConnId) {
         if let Some(ConnectionUse::Idle(_)) = self.connections.get(&connection) {
             self.close(context, connection);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Opens a connection to learn whether the endpoint accepts it.
+    /// Opens a connection to learn whether the endpoint accepts it. Does nothing if the endpoint is unknown.
     pub fn probe(&mut self, context: &mut Context, endpoint: EndpointId) {
         let started = context.now();
         let Some(connection) = connect(context, endpoint) else { return };
--- a/crates/as2-gateway/src/outbound_client/security.rs
+++ b/crates/as2-gateway/src/outbound_client/security.rs
@@ -1,9 +1,10 @@
-//! Protection of messages to a partner, from the settings.
+//! Maps a partner's settings to the signing, encryption, compression and receipt request of its messages.
 
 use cloverstile_as2::{Cipher, Digest, ReceiptRequest, Security};
 use cloverstile_settings::{self as settings, Partner, ReceiptMode};
 
-/// How messages for a partner are protected, and which receipt is asked for.
+/// How messages to a partner are signed, encrypted and compressed, and which receipt they request. A partner that is
+/// set to asynchronous receipts is asked to post them to `receipts_url`.
 pub(crate) fn security_for(partner: &Partner, receipts_url: String) -> Security {
     let sign = partner.signature_digest.map(digest);
     let mic = partner.mic_digest.map(digest).or(sign).unwrap_or(Digest::Sha256);
--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -1,10 +1,10 @@
-//! The gateway's event loop: socket events and worker results go in, the engine advances, its commands are carried out.
+//! The gateway's event loop: handles socket events and worker results, advances the engine and executes its commands.
 
 use crate::as2_server::As2Server;
 use crate::context::{Context, EndpointAddress, Timer};
 use crate::crypto_pool::CryptoPool;
 use crate::directory::{load, load_config, Directory, LoadError};
-use crate::failover_setup::{destination, planner};
+use crate::failover_setup::{new_failover_planner, tier_destination};
 use crate::outbound_client::OutboundClient;
 use crate::worker_result::WorkerResult;
 use cloverstile::{Endpoint, EndpointId, KindId, MessageId, Time, ZoneId};
@@ -20,21 +20,22 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::{debug, error, info, warn};
 
-/// Part of the time for shutdown in which messages are still delivered; the rest is for signing and sending receipts.
-const DELIVERY_PART_OF_SHUTDOWN: f64 = 0.8;
+/// Fraction of the shutdown timeout in which messages are still delivered; the rest is left for signing and sending
+/// receipts.
+const DELIVERY_FRACTION_OF_SHUTDOWN: f64 = 0.8;
 
-/// Why a gateway could not start or go on.
+/// Why a gateway could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// An operation of the system failed.
+    /// A system call or another operation of the operating system failed.
     #[error("{operation}: {error}")]
     Io {
-        /// The operation.
+        /// What the gateway tried to set up or to use, such as "event loop".
         operation: String,
-        /// The system's error.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// Settings or keys can't be used.
+    /// The settings, keys or certificates are invalid.
     #[error(transparent)]
     Load(#[from] LoadError),
 }
@@ -44,36 +45,36 @@
     move |error| ServiceError::Io { operation, error }
 }
 
-/// Figures of a completed run.
+/// Totals of a completed run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunSummary {
     /// Counters of the engine.
     pub counts: Counters,
-    /// Messages without a final outcome; zero unless the time for shutdown ran out or a second signal came.
+    /// Messages without a final outcome; zero unless the shutdown timed out or a second signal interrupted it.
     pub unanswered: usize,
     /// Time spent in the policy and the engine.
     pub decision_time: Duration,
-    /// Time that the event loop was not waiting.
+    /// Time in which the event loop was not waiting for events.
     pub busy_time: Duration,
 }
 
-/// Runs a gateway from its settings file until it is shut down. With `announce` the address that it listens on is
-/// printed as a line of JSON, for the program that started it. `seed` is the seed of the policy's randomness.
+/// Runs a gateway from its settings file until it is shut down. With `announce` it prints the address that it listens
+/// on to standard output as a line of JSON, for the program that started it. `seed` seeds the policy's random choices.
 ///
 /// # Errors
-/// Settings that can't be used, and sockets, signals or threads that the system refuses.
+/// Returns an error if the settings are invalid or a socket, a signal handler or a thread can't be set up.
 pub fn serve(file: &Path, announce: bool, seed: u64) -> Result<RunSummary, ServiceError> {
     let (config, directory) = load(file)?;
     let mut service = Service::start(config, directory, Some(file), seed)?;
     if announce {
         println!("{{\"listening\":\"{}\"}}", service.address());
-        // The reader may be at the other end of a pipe; that it is gone is no error of the gateway.
+        // A failed flush is not an error of the gateway: the reader of a pipe may have closed it.
         let _ = io::stdout().flush();
     }
     service.run()
 }
 
-/// Shuts a running gateway down from another thread.
+/// Shuts down a running gateway from another thread.
 #[derive(Clone)]
 pub struct ShutdownHandle {
     requested: Arc<AtomicBool>,
@@ -88,21 +89,21 @@
     }
 }
 
-/// Whether the event loop goes on.
+/// Whether the event loop continues after an event.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LoopControl {
     Continue,
     Exit,
 }
 
-/// Endpoints keep their ids as long as the program runs.
+/// Identifies an endpoint across reloads of the settings, so that it keeps its [`EndpointId`] while the process runs.
 #[derive(PartialEq, Eq, Hash)]
 struct EndpointKey {
     partner: String,
     endpoint: String,
 }
 
-/// A gateway with AS2 clients and partners.
+/// A gateway instance, with its sockets, its engine and its worker threads.
 pub struct Service {
     context: Context,
     server: As2Server,
@@ -111,18 +112,19 @@
     endpoint_ids: HashMap<EndpointKey, EndpointId>,
     settings_file: Option<PathBuf>,
     shutdown_requested: Arc<AtomicBool>,
-    /// End of a graceful shutdown at the latest; none while it has not begun.
+    /// When the graceful shutdown ends at the latest; none until it begins.
     shutdown_deadline: Option<Time>,
     decision_time: Duration,
     busy_time: Duration,
 }
 
 impl Service {
-    /// Starts to listen. `seed` is the seed of the policy's randomness. With a `file` the gateway handles the signals of
-    /// its process: SIGTERM and SIGINT shut it down, SIGHUP reads the file's endpoints and rates again.
+    /// Creates a gateway and starts to listen; [`Service::run`] serves. `seed` seeds the policy's random choices. With
+    /// a settings `file` the gateway handles the signals of its process: SIGTERM and SIGINT shut it down, SIGHUP
+    /// reloads the endpoints and rates from the file.
     ///
     /// # Errors
-    /// Sockets, signals or threads that the system refuses.
+    /// Returns an error if a socket, a signal handler or a thread can't be set up.
     pub fn start(
         config: Config,
         directory: Directory,
@@ -131,8 +133,8 @@
     ) -> Result<Service, ServiceError> {
         let mut net = Net::new().map_err(io_error("event loop"))?;
         if file.is_some() {
-            // Before any thread is started: one that was there already would take a signal by itself, and end the
-            // whole process.
+            // Signals are set up before any thread starts: a thread that exists already doesn't have them blocked, and
+            // a signal delivered to it would terminate the process.
             net.watch_signals(&[SignalKind::SIGTERM, SignalKind::SIGINT, SignalKind::SIGHUP])
                 .map_err(io_error("signals"))?;
         }
@@ -141,7 +143,7 @@
         let crypto_pool =
             CryptoPool::new(config.limits.crypto_threads, &net.waker()).map_err(io_error("threads"))?;
         let context = Context {
-            engine: engine(&config, seed),
+            engine: new_engine(&config, seed),
             directory: Arc::new(directory),
             net,
             crypto_pool,
@@ -169,20 +171,20 @@
         Ok(service)
     }
 
-    /// The address listened on.
+    /// The address that the gateway listens on, with the port that the system chose if the settings leave it open.
     pub fn address(&self) -> SocketAddr {
         self.context.address
     }
 
-    /// A handle that shuts the gateway down from another thread.
+    /// Returns a handle that shuts down the gateway from another thread.
     pub fn shutdown_handle(&self) -> ShutdownHandle {
         ShutdownHandle { requested: self.shutdown_requested.clone(), waker: self.context.net.waker() }
     }
 
-    /// Serves until a shutdown is complete.
+    /// Serves until a shutdown is complete or a second signal interrupts it.
     ///
     /// # Errors
-    /// An event loop that the system refuses to run.
+    /// Returns an error if the event loop can't wait for events.
     pub fn run(&mut self) -> Result<RunSummary, ServiceError> {
         loop {
             let timeout = self.next_timeout();
@@ -212,7 +214,7 @@
         next.into_iter().flatten().min().map(|at| at - now)
     }
 
-    /// Processes worker results and the engine's commands until neither is left.
+    /// Handles worker results and executes the engine's commands until the engine has none left.
     fn advance(&mut self) {
         loop {
             while let Some(result) = self.context.crypto_pool.next_result() {
@@ -283,7 +285,7 @@
             Command::Complete { message, outcome, attempts } => self.complete(message, outcome, attempts),
             Command::LateReceipt { message, outcome } => {
                 let in_flight = context.messages.get(&message);
-                let partner = in_flight.map(|known| &context.config.partners[known.partner].name);
+                let partner = in_flight.map(|in_flight| &context.config.partners[in_flight.partner].name);
                 let message_id = context.idempotency_key(message);
                 warn!(message_id, ?partner, ?outcome, "receipt arrived after the final outcome");
             }
@@ -327,62 +329,63 @@
 
     // ---- Settings ----
 
-    /// Gives the settings' endpoints to the engine.
+    /// Passes the endpoints in the settings to the engine.
     fn update_endpoints(&mut self) {
         let config = &self.context.config;
-        let mut listed = Vec::new();
-        for (number, partner) in config.partners.iter().enumerate() {
+        let mut endpoints = Vec::new();
+        for (partner_index, partner) in config.partners.iter().enumerate() {
             for endpoint in &partner.endpoints {
-                let next = EndpointId(self.endpoint_ids.len() as u32);
+                let next_id = EndpointId(self.endpoint_ids.len() as u32);
                 let key = EndpointKey { partner: partner.name.clone(), endpoint: endpoint.name.clone() };
-                let id = *self.endpoint_ids.entry(key).or_insert(next);
+                let id = *self.endpoint_ids.entry(key).or_insert(next_id);
                 let tier = partner.tiers.iter().position(|tier| tier.zone == endpoint.zone).unwrap_or(0);
                 let address = EndpointAddress {
-                    partner: number,
+                    partner: partner_index,
                     name: endpoint.name.clone(),
                     address: endpoint.address,
                     path: endpoint.path.clone(),
                 };
                 self.context.endpoints.insert(id, address);
-                listed.push(Endpoint {
+                endpoints.push(Endpoint {
                     id,
                     zone: ZoneId(endpoint.zone),
                     kind: KindId(partner.kind),
-                    destination: destination(config, number, tier),
+                    destination: tier_destination(config, partner_index, tier),
                     state: endpoint.state,
                     weight: partner.tiers.get(tier).map_or(partner.rate, |tier| tier.rate),
                 });
             }
         }
         let now = self.context.now();
-        self.context.engine.update_endpoints(now, listed);
+        self.context.engine.update_endpoints(now, endpoints);
     }
 
-    /// Takes a new version of the partners' endpoints and rates, whole or not at all.
+    /// Reloads the partners' endpoints and rates from the settings file; all of them, or none if the file is invalid or
+    /// adds a partner. A partner that is no longer in the file loses its endpoints.
     fn reload(&mut self) {
         let Some(file) = self.settings_file.clone() else { return };
-        let read = match load_config(&file) {
-            Ok(read) => read,
+        let new_config = match load_config(&file) {
+            Ok(new_config) => new_config,
             Err(error) => {
                 return error!(%error, "settings reload failed, the previous settings stay in force")
             }
         };
         let current = &self.context.config.partners;
         let is_known = |name: &str| current.iter().any(|partner| partner.name == name);
-        if let Some(new) = read.partners.iter().find(|partner| !is_known(&partner.name)) {
+        if let Some(added) = new_config.partners.iter().find(|partner| !is_known(&partner.name)) {
             return error!(
-                partner = %new.name,
+                partner = %added.name,
                 "settings reload failed, the previous settings stay in force: a new partner needs a restart"
             );
         }
         for partner in &mut self.context.config.partners {
-            match read.partners.iter().find(|new| new.name == partner.name) {
+            match new_config.partners.iter().find(|new| new.name == partner.name) {
                 Some(new) => (partner.endpoints, partner.rate) = (new.endpoints.clone(), new.rate),
                 None => partner.endpoints.clear(),
             }
         }
         self.update_endpoints();
-        info!("settings reloaded: endpoints and rates; all else needs a restart");
+        info!("settings reloaded: endpoints and rates; any other change needs a restart");
     }
 
     // ---- Shutdown ----
@@ -395,7 +398,7 @@
         let now = context.now();
         let within = context.config.limits.shutdown_timeout;
         info!(pending_messages = context.engine.pending_messages(), ?within, "graceful shutdown started");
-        context.engine.shut_down_by(now + within.mul_f64(DELIVERY_PART_OF_SHUTDOWN));
+        context.engine.shut_down_by(now + within.mul_f64(DELIVERY_FRACTION_OF_SHUTDOWN));
         self.shutdown_deadline = Some(now + within);
         context.net.stop_listening(self.listener);
     }
@@ -416,13 +419,13 @@
     }
 }
 
-fn engine(config: &Config, seed: u64) -> Engine {
+fn new_engine(config: &Config, seed: u64) -> Engine {
     let result_limits = ResultCacheLimits {
         max_results: config.limits.max_kept_outcomes,
         retention: config.limits.outcome_retention,
     };
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Engine::new(config.policy.clone(), result_limits, seed).with_failover_policy(planner(
+    Engine::new(config.policy.clone(), result_limits, seed).with_failover_policy(new_failover_planner(
         config,
         seed,
         since_epoch,
--- a/crates/as2-gateway/src/worker_result.rs
+++ b/crates/as2-gateway/src/worker_result.rs
@@ -8,23 +8,23 @@
 use cloverstile_engine::{Attempt, FinalOutcome, TransportOutcome};
 use cloverstile_http::Headers;
 
-/// A submission whose signature and encryption were processed.
+/// A submission that was decrypted and its signature verified, or the reason why that failed.
 pub(crate) struct OpenedSubmission {
     pub request: RequestId,
     /// Index of the sender in the clients of the settings.
     pub client: usize,
     pub envelope: Box<Envelope>,
-    /// Fields of the HTTP message.
+    /// Header fields of the HTTP request.
     pub http_headers: Headers,
     pub opened: Result<Box<OpenedMessage>, As2Error>,
 }
 
-/// The verified meaning of a partner's response to an attempt.
+/// The outcome of an attempt, by the verified receipt in the partner's response.
 pub(crate) struct VerifiedResponse {
     pub batch: BatchId,
     pub attempt: Attempt,
     pub outcome: TransportOutcome,
-    /// Why the receipt in the response was not accepted.
+    /// Why the receipt in the response was not accepted; none if it was.
     pub error: Option<As2Error>,
 }
 
@@ -32,23 +32,24 @@
 pub(crate) struct SignedRejection {
     pub request: RequestId,
     pub status: HttpStatus,
-    /// Explanation for people.
+    /// Explanation for the people who read the receipt.
     pub reason: String,
-    /// None where it could not be composed.
+    /// None if it could not be composed.
     pub receipt: Option<Box<ComposedMessage>>,
 }
 
 /// What a job on a worker thread returns.
 pub(crate) enum WorkerResult {
-    /// A client's submission was opened, or could not be.
+    /// A client's submission was decrypted and verified, or failed that.
     SubmissionOpened(OpenedSubmission),
-    /// A message for a partner was composed.
+    /// A message for a partner was signed, encrypted and encoded.
     MessageComposed { message: MessageId, composed: Result<Box<ComposedMessage>, As2Error> },
     /// The receipt in a partner's response was verified.
     ResponseVerified(VerifiedResponse),
-    /// A partner's asynchronous receipt was read; `partner` is its index in the settings.
+    /// A partner's asynchronous receipt was decoded and its signature, if any, verified; `partner` is the partner's
+    /// index in the settings.
     PartnerReceiptRead { request: RequestId, partner: usize, receipt: Result<Box<Receipt>, As2Error> },
-    /// The receipt with a message's final outcome was signed for a client.
+    /// The receipt that reports a message's final outcome to a client was signed.
     FinalReceiptSigned {
         waiter: Box<ReceiptWaiter>,
         outcome: FinalOutcome,
--- a/crates/as2-gateway/src/zone_loss.rs
+++ b/crates/as2-gateway/src/zone_loss.rs
@@ -1,18 +1,19 @@
-//! Capacity check for the loss of zones, with the figures of the settings.
+//! Checks whether the capacity in the settings covers the demand when a zone is lost.
 
 use cloverstile_capacity_planning::{
     plan_outages, Network, OutageReport, PartnerDemand, PlanError, Site, Zone,
 };
 use cloverstile_settings::{Config, Partner};
 
-/// Zones and demand by the settings; partners without `wanted` are left out.
+/// The zones' capacities and the partners' demands from the settings. Partners without `wanted`, the setting for the
+/// peak demand, are left out.
 pub fn capacity_network(config: &Config) -> Network {
     let zones = config.zones.iter().zip(&config.zone_rates);
     let zones = zones.map(|(name, rate)| Zone { name: name.clone(), capacity: *rate }).collect();
-    Network { zones, partners: config.partners.iter().filter_map(demand).collect() }
+    Network { zones, partners: config.partners.iter().filter_map(partner_demand).collect() }
 }
 
-fn demand(partner: &Partner) -> Option<PartnerDemand> {
+fn partner_demand(partner: &Partner) -> Option<PartnerDemand> {
     Some(PartnerDemand {
         name: partner.name.clone(),
         demand: partner.peak_demand?,
@@ -23,7 +24,7 @@
     })
 }
 
-/// The sites of a partner: its tiers, or the zone of its first endpoint where it has none.
+/// The sites of a partner: one for each tier, or the zone of its first endpoint if it has no tiers.
 fn sites(partner: &Partner) -> Vec<Site> {
     if partner.tiers.is_empty() {
         let zone = partner.endpoints.first().map_or(0, |endpoint| endpoint.zone);
@@ -32,21 +33,26 @@
     partner.tiers.iter().map(|tier| Site { zone: tier.zone.into(), capacity: tier.rate }).collect()
 }
 
-/// One line for each loss of a zone, and for the state without a loss, whose demand exceeds the capacity.
+/// Returns a warning for each loss of one zone after which the capacity doesn't cover the demand, and one if it doesn't
+/// without any loss.
 ///
 /// # Errors
-/// Figures that the capacity planning rejects.
+/// Returns an error if the capacity planning rejects the capacities or demands of the settings.
 pub fn capacity_warnings(config: &Config) -> Result<Vec<String>, PlanError> {
     let network = capacity_network(config);
     if network.partners.is_empty() {
         return Ok(Vec::new());
     }
-    Ok(plan_outages(&network, false)?.iter().filter(|loss| !loss.fully_carried).map(warning).collect())
+    Ok(plan_outages(&network, false)?
+        .iter()
+        .filter(|outage| !outage.fully_carried)
+        .map(capacity_warning)
+        .collect())
 }
 
-fn warning(loss: &OutageReport) -> String {
-    let short = loss.partners.iter().filter(|partner| partner.carried < partner.demand);
-    let shortfalls: Vec<String> = short
+fn capacity_warning(outage: &OutageReport) -> String {
+    let underserved = outage.partners.iter().filter(|partner| partner.carried < partner.demand);
+    let shortfalls: Vec<String> = underserved
         .map(|partner| {
             let carried =
                 format!("{} {:.0} of {:.0} a second", partner.partner, partner.carried, partner.demand);
@@ -58,10 +64,10 @@
             }
         })
         .collect();
-    let scenario = if loss.zones.is_empty() {
+    let scenario = if outage.zones.is_empty() {
         "the usual day".to_owned()
     } else {
-        format!("the loss of {}", loss.zones.join(" and "))
+        format!("the loss of {}", outage.zones.join(" and "))
     };
     format!("{scenario} can't be carried: {}; see cloverstile plan", shortfalls.join(", "))
 }
