--- a/crates/as2-gateway/src/as2_server.rs
+++ b/crates/as2-gateway/src/as2_server.rs
@@ -1,4 +1,5 @@
-//! AS2 server: accepts submissions of clients and asynchronous receipts of partners, and sends receipts to clients.
+//! AS2 server: accepts submissions from clients and asynchronous receipts from partners, and sends receipts to
+//! clients.
 
 mod connections;
 mod partner_receipts;
@@ -21,27 +22,27 @@
 use submissions::NextStep;
 use tracing::debug;
 
-/// State of the AS2 server.
+/// Inbound connections, receipt deliveries and pending jobs of the AS2 server.
 #[derive(Default)]
 pub(crate) struct As2Server {
     connections: InboundConnections,
     deliveries: ReceiptDeliveries,
-    /// Jobs on worker threads whose results belong to this server.
+    /// Number of jobs on worker threads whose results come back to this server.
     pending_jobs: usize,
 }
 
 impl As2Server {
-    /// Whether a connection is inbound, or delivers a receipt.
+    /// Whether the connection is inbound or delivers a receipt to a client.
     pub fn owns(&self, connection: ConnId) -> bool {
         self.connections.contains(connection) || self.deliveries.contains(connection)
     }
 
-    /// Whether a message is being opened, or a receipt signed or delivered.
+    /// Whether a job on a worker thread or the delivery of a receipt is still pending.
     pub fn is_busy(&self) -> bool {
         self.pending_jobs > 0 || !self.deliveries.is_empty()
     }
 
-    /// Bytes of responses that the system has not taken.
+    /// Bytes of responses that are buffered and not yet written to their sockets.
     pub fn unsent_bytes(&self, net: &Net) -> usize {
         self.connections.unsent_bytes(net)
     }
@@ -58,7 +59,7 @@
         self.read_requests(context, connection);
     }
 
-    /// The peer read its responses: requests are read again.
+    /// Resumes reading requests once the connection's buffered responses have been written.
     pub fn on_flushed(&mut self, context: &mut Context, connection: ConnId) {
         self.read_requests(context, connection);
     }
@@ -67,13 +68,13 @@
         self.connections.on_deadline(context, connection);
     }
 
-    /// A client may resubmit to get its outcome: nothing but the connection is dropped.
+    /// Drops the connection only. Its message goes on, and the client can resubmit it to get the final outcome.
     pub fn on_closed(&mut self, context: &mut Context, connection: ConnId) {
         self.connections.remove(connection);
         self.on_delivery_failed(context, connection);
     }
 
-    /// A connection that delivers a receipt failed or took too long.
+    /// Handles a receipt delivery whose connection failed or timed out. Other connections are ignored.
     pub fn on_delivery_failed(&mut self, context: &mut Context, connection: ConnId) {
         self.deliveries.on_failure(context, connection);
     }
@@ -82,10 +83,10 @@
         self.deliveries.attempt(context, delivery);
     }
 
-    /// Processes the requests that have arrived, one at a time.
+    /// Processes the buffered requests of a connection, one at a time.
     ///
-    /// A loop guards against requests sent by the thousand in one piece: were the next one read from within the response
-    /// to each, the stack would end and the gateway with it.
+    /// This is a loop and not a recursion: a peer may send thousands of pipelined requests at once, and reading each
+    /// one while responding to the previous one would overflow the stack and crash the gateway.
     fn read_requests(&mut self, context: &mut Context, connection: ConnId) {
         while let Some((request, message)) = self.connections.next_request(context, connection) {
             self.on_request(context, request, message);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Rejects a request: with a receipt where one was asked for and the sender is known.
+    /// Rejects a request, with a signed receipt if the sender is known and asked for one.
     fn reject(&mut self, context: &mut Context, request: RequestId, rejection: Rejection) {
         debug!(status = rejection.status.code, reason = rejection.reason, "message rejected");
         if let Some((envelope, receipt)) = rejection.receipt_request() {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Signs and sends the receipt with a message's final outcome.
+    /// Starts to sign the receipt with a message's final outcome; it is sent once it is signed.
     pub fn send_outcome(&mut self, context: &mut Context, waiter: ReceiptWaiter, outcome: FinalOutcome) {
         self.pending_jobs += 1;
         receipts::sign_final_receipt(context, waiter, outcome);
@@ -140,9 +141,9 @@
         match submissions::submit(context, submission) {
             NextStep::AwaitOutcome => {}
             NextStep::Respond(response) => self.connections.respond(context, request, response),
-            NextStep::SendOutcome { waiter, outcome, deferred } => {
+            NextStep::SendOutcome { waiter, outcome, async_receipt } => {
                 self.send_outcome(context, waiter, outcome);
-                if deferred {
+                if async_receipt {
                     let response = HttpResponse::empty(HttpStatus::ACCEPTED);
                     self.connections.respond(context, request, response);
                 }
@@ -177,7 +178,7 @@
         self.deliveries.start(context, &url, response.headers, &response.body);
     }
 
-    /// A partner's asynchronous receipt was read; `partner` is its index in the settings.
+    /// Responds to a partner's asynchronous receipt. `partner` is the partner's index in the settings.
     pub fn on_partner_receipt_read(
         &mut self,
         context: &mut Context,
--- a/crates/as2-gateway/src/as2_server/connections.rs
+++ b/crates/as2-gateway/src/as2_server/connections.rs
@@ -1,4 +1,4 @@
-//! Inbound HTTP connections: one request at a time is read from each, and responded to.
+//! Inbound HTTP connections. On each, one request at a time is read and responded to.
 
 use crate::context::{Context, Timer};
 use crate::identifiers::RequestId;
@@ -37,14 +37,14 @@
 
 struct InboundConnection {
     decoder: Decoder,
-    /// The request being processed; the next one of the connection waits.
+    /// The request being processed. The next one is read after its response.
     current_request: Option<RequestId>,
     keep_alive: bool,
-    /// Whether a timer for slow requests is set.
+    /// Whether a timer for the request deadline is pending.
     has_deadline: bool,
 }
 
-/// All inbound connections.
+/// Inbound connections of clients and partners that are open.
 #[derive(Default)]
 pub(crate) struct InboundConnections {
     connections: HashMap<ConnId, InboundConnection>,
@@ -56,19 +56,19 @@
         self.connections.contains_key(&connection)
     }
 
-    /// Bytes of responses that the system has not taken.
+    /// Bytes of responses that are buffered and not yet written to their sockets.
     pub fn unsent_bytes(&self, net: &Net) -> usize {
         self.connections.keys().map(|connection| net.unsent_bytes(*connection)).sum()
     }
 
-    /// Takes a new connection, or turns it away where the limit is reached.
+    /// Registers a new connection, or closes it with 503 if the connection limit is reached.
     pub fn accept(&mut self, context: &mut Context, id: ConnId) {
         let settings = &context.config.listener;
         if self.connections.len() >= settings.max_connections {
             let headers = Headers::new().with("Connection", "close").with("Retry-After", "1");
-            let turned_away =
+            let response =
                 HttpResponse::new(HttpStatus::SERVICE_UNAVAILABLE, headers, "too many connections\n");
-            context.net.send(id, &turned_away.to_bytes());
+            context.net.send(id, &response.to_bytes());
             context.net.close_after_flush(id);
             return;
         }
@@ -92,25 +92,26 @@
         self.connections.remove(&id);
     }
 
-    /// Takes received bytes; [`next_request`](Self::next_request) reads them.
+    /// Buffers received bytes until [`next_request`](Self::next_request) decodes them.
     pub fn feed(&mut self, context: &Context, id: ConnId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.decoder.feed(context.since_start(), bytes);
         }
     }
 
-    /// The next complete request of a connection, unless one is being processed or its peer does not read.
+    /// The next complete request of a connection; none while one is being processed or too many response bytes are
+    /// unread.
     pub fn next_request(&mut self, context: &mut Context, id: ConnId) -> Option<(RequestId, Message)> {
         let now = context.since_start();
         loop {
             let connection = self.connections.get_mut(&id)?;
-            // Guards against a client that sends requests and never reads: its responses would pile up here.
+            // Bounds memory when a client sends requests and never reads the responses.
             if context.net.unsent_bytes(id) > MAX_UNREAD_BYTES {
                 context.net.set_read_paused(id, true);
                 return None;
             }
             if connection.current_request.is_some() {
-                // What comes behind a request that is being processed waits in the peer's own buffers.
+                // Pipelined requests beyond this limit stay in the buffers of the socket and the peer.
                 let paused = connection.decoder.buffered_bytes() > context.config.listener.max_head_bytes;
                 context.net.set_read_paused(id, paused);
                 return None;
@@ -130,7 +131,7 @@
                     return None;
                 }
                 Err(error) => {
-                    self.close_invalid(context, id, status_of(&error), &error);
+                    self.close_with_error(context, id, status_of_error(&error), &error);
                     return None;
                 }
             }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Closes a connection whose request arrived too slowly.
+    /// Closes the connection with 408 if its request arrives too slowly; otherwise waits for the next deadline.
     pub fn on_deadline(&mut self, context: &mut Context, id: ConnId) {
         let now = context.since_start();
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -154,26 +155,27 @@
             return;
         }
         match connection.decoder.check_deadline(now) {
-            Err(error) => self.close_invalid(context, id, HttpStatus::REQUEST_TIMEOUT, &error),
+            Err(error) => self.close_with_error(context, id, HttpStatus::REQUEST_TIMEOUT, &error),
             Ok(()) => self.set_deadline(context, id),
         }
     }
 
-    /// Responds to bytes that are no valid request, and closes.
-    fn close_invalid(&mut self, context: &mut Context, id: ConnId, status: HttpStatus, error: &HttpError) {
+    /// Responds to an invalid or late request with an error and closes the connection.
+    fn close_with_error(&mut self, context: &mut Context, id: ConnId, status: HttpStatus, error: &HttpError) {
         debug!(status = status.code, %error, "invalid request");
         let headers = Headers::new().with("Connection", "close").with("Content-Type", "text/plain");
-        let invalid = HttpResponse::new(status, headers, format!("{error}\n"));
-        context.net.send(id, &invalid.to_bytes());
+        let response = HttpResponse::new(status, headers, format!("{error}\n"));
+        context.net.send(id, &response.to_bytes());
         context.net.close_after_flush(id);
         self.connections.remove(&id);
     }
 
-    /// Sends the response of a request, if its connection still waits for it.
+    /// Sends the response to a request, unless its connection was closed in the meantime.
     pub fn respond(&mut self, context: &mut Context, request: RequestId, mut response: HttpResponse) {
         let id = request.connection;
-        let waiting = self.connections.get_mut(&id).filter(|known| known.current_request == Some(request));
-        let Some(connection) = waiting else { return };
+        let awaiting =
+            self.connections.get_mut(&id).filter(|connection| connection.current_request == Some(request));
+        let Some(connection) = awaiting else { return };
         connection.current_request = None;
         let keep_alive = connection.keep_alive;
         if !keep_alive {
@@ -187,7 +189,7 @@
     }
 }
 
-fn status_of(error: &HttpError) -> HttpStatus {
+fn status_of_error(error: &HttpError) -> HttpStatus {
     match error {
         HttpError::LimitExceeded("body", _) => HttpStatus::CONTENT_TOO_LARGE,
         HttpError::LimitExceeded(..) => HttpStatus::HEADER_FIELDS_TOO_LARGE,
--- a/crates/as2-gateway/src/as2_server/partner_receipts.rs
+++ b/crates/as2-gateway/src/as2_server/partner_receipts.rs
@@ -1,4 +1,4 @@
-//! Asynchronous receipts of partners, which arrive on connections of their own.
+//! Asynchronous receipts from partners, which arrive as separate requests to the AS2 server.
 
 use super::receipts::Rejection;
 use super::submissions::unknown_sender;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Identifies the partner and starts to read its receipt on a worker thread.
+/// Identifies the partner by `AS2-From` and starts to verify its receipt on a worker thread.
 pub(crate) fn start_reading(
     context: &mut Context,
     request: RequestId,
@@ -29,9 +29,9 @@
     Ok(())
 }
 
-/// Gives the outcome of a valid receipt to the engine. `partner` is an index in the settings.
+/// Reports the outcome of a valid receipt to the engine. `partner` is the partner's index in the settings.
 ///
-/// A receipt for a message that is no longer known is accepted: the partner need not send it again.
+/// A receipt for an unknown message is accepted and ignored, so that the partner does not send it again.
 pub(crate) fn accept(
     context: &mut Context,
     partner: usize,
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// The composed message that a receipt is for: only its own partner can confirm it.
+/// The composed message that a receipt is for; none unless the message was sent to this partner.
 fn find_message(
     context: &Context,
     partner: usize,
--- a/crates/as2-gateway/src/as2_server/receipt_delivery.rs
+++ b/crates/as2-gateway/src/as2_server/receipt_delivery.rs
@@ -1,4 +1,4 @@
-//! Asynchronous receipts: they are posted to addresses that clients named, with retries.
+//! Delivery of asynchronous receipts: each is posted to the URL that the client named, with retries.
 
 use crate::context::{Context, Timer};
 use crate::identifiers::DeliveryId;
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Attempts to deliver a receipt.
+/// Connections opened to deliver one receipt, before it is given up.
 const MAX_ATTEMPTS: u32 = 6;
-/// Delay before the second attempt; it doubles with each further one.
+/// Delay before the second attempt. It doubles with each further attempt.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Receipts that are being delivered, at most.
+/// Limit of receipts in delivery at the same time; further ones are dropped.
 const MAX_DELIVERIES: usize = 10_000;
-/// Largest body of a response to a receipt, in bytes.
-const MAX_RESPONSE_BODY: usize = 1 << 20;
-/// A delivery may take so many times the time for connecting.
-const TIMEOUT_OF_CONNECT_TIMEOUT: u32 = 4;
+/// Limit of the body of a response to a receipt, in bytes.
+const MAX_RESPONSE_BODY_BYTES: usize = 1 << 20;
+/// Timeout of one delivery attempt, as a multiple of `connect_timeout`.
+const CONNECT_TIMEOUT_MULTIPLE: u32 = 4;
 
 struct Delivery {
     address: SocketAddr,
@@ -33,7 +33,7 @@
     decoder: Decoder,
 }
 
-/// Receipts that are being delivered, and their connections.
+/// Receipts in delivery, including those that wait for a retry, and the connections of running attempts.
 #[derive(Default)]
 pub(crate) struct ReceiptDeliveries {
     deliveries: HashMap<DeliveryId, Delivery>,
@@ -50,7 +50,7 @@
         self.deliveries.is_empty()
     }
 
-    /// Starts to deliver a receipt to a URL.
+    /// Starts to deliver a receipt to a URL. If that is not possible, the receipt is dropped and a warning logged.
     pub fn start(&mut self, context: &mut Context, url: &str, mut headers: Headers, body: &[u8]) {
         let Some((address, path)) = parse_http_url(url) else {
             return warn!(url, "receipt not delivered: only http:// with a numeric address is supported");
@@ -66,19 +66,21 @@
         self.attempt(context, id);
     }
 
-    /// Opens a connection and sends the receipt.
+    /// Opens a connection, sends the receipt and sets the timeout of the attempt.
     pub fn attempt(&mut self, context: &mut Context, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         delivery.attempts += 1;
         let connection = context.net.connect(delivery.address);
-        let decoder = Decoder::client(Limits { max_body_bytes: MAX_RESPONSE_BODY, ..Limits::default() });
+        let decoder =
+            Decoder::client(Limits { max_body_bytes: MAX_RESPONSE_BODY_BYTES, ..Limits::default() });
         context.net.send(connection, &delivery.bytes);
         self.connections.insert(connection, DeliveryConnection { delivery: id, decoder });
-        let timeout = context.config.policy.connect_timeout.saturating_mul(TIMEOUT_OF_CONNECT_TIMEOUT);
+        let timeout = context.config.policy.connect_timeout.saturating_mul(CONNECT_TIMEOUT_MULTIPLE);
         context.set_timer(context.now() + timeout, Timer::ConnectTimeout(connection));
     }
 
-    /// Takes bytes of a response: a status of success ends the delivery.
+    /// Decodes a response: a 2xx status completes the delivery, any other status or an invalid response fails the
+    /// attempt.
     pub fn on_bytes(&mut self, context: &mut Context, id: ConnId, bytes: &[u8]) {
         let now = context.since_start();
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Schedules a retry: the connection failed, ended or took too long.
+    /// Closes the connection of a failed attempt and schedules a retry, or gives up after [`MAX_ATTEMPTS`].
     pub fn on_failure(&mut self, context: &mut Context, id: ConnId) {
         let Some(connection) = self.connections.remove(&id) else { return };
         context.net.close(id);
--- a/crates/as2-gateway/src/as2_server/receipts.rs
+++ b/crates/as2-gateway/src/as2_server/receipts.rs
@@ -1,4 +1,4 @@
-//! Receipts for clients: what they say, how they are signed, and the HTTP responses that carry them.
+//! Receipts for clients: their content, their signature and the HTTP responses that carry them.
 
 use super::connections::HttpResponse;
 use crate::context::Context;
@@ -18,31 +18,31 @@
 /// Disposition modifier of a message that is not signed or encrypted as required.
 pub(crate) const INSUFFICIENT_SECURITY: &str = "insufficient-message-security";
 
-/// Why a request is rejected, for good.
+/// Why a request is rejected. Sending it again unchanged is rejected as well.
 pub(crate) struct Rejection {
     pub status: HttpStatus,
-    /// Explanation for people.
+    /// Explanation for people, in the receipt or the response body.
     pub reason: String,
-    /// Fields of the rejected message; none where its sender is not known: no receipt is sent then.
+    /// AS2 header fields of the rejected message; none if no receipt can be sent, as for an unknown sender.
     pub envelope: Option<Box<Envelope>>,
-    /// Disposition modifier of the receipt.
-    pub disposition: &'static str,
+    /// Modifier of the receipt's disposition `processed/error`.
+    pub disposition_modifier: &'static str,
 }
 
 impl Rejection {
-    /// A rejection without a receipt.
+    /// A rejection whose reason is sent as plain text, without a receipt.
     pub fn without_receipt(status: HttpStatus, reason: String) -> Self {
-        Rejection { status, reason, envelope: None, disposition: UNEXPECTED_PROCESSING_ERROR }
+        Rejection { status, reason, envelope: None, disposition_modifier: UNEXPECTED_PROCESSING_ERROR }
     }
 
-    /// The envelope and the receipt that its sender asked for, if it did.
+    /// The envelope and its receipt request, if the sender asked for a receipt.
     pub fn receipt_request(&self) -> Option<(Box<Envelope>, ReceiptRequest)> {
         let envelope = self.envelope.as_ref()?;
         Some((envelope.clone(), envelope.receipt.clone()?))
     }
 }
 
-/// Signs the receipt of a rejection on a worker thread.
+/// Starts to sign the receipt of a rejection on a worker thread.
 pub(crate) fn sign_rejection(
     context: &mut Context,
     request: RequestId,
@@ -52,16 +52,16 @@
 ) {
     let identity = context.directory.own_identity.clone();
     context.crypto_pool.submit(move || {
-        let facts = ReceiptContent {
+        let content = ReceiptContent {
             receipt_id: &format!("receipt.{}", envelope.message_id),
             to: &envelope.from,
             original_id: &envelope.message_id,
-            disposition: Disposition::Error(rejection.disposition.to_owned()),
+            disposition: Disposition::Error(rejection.disposition_modifier.to_owned()),
             mic: None,
             text: &rejection.reason,
             final_outcome: None,
         };
-        let composed = compose_receipt(&facts, &identity, signature_digest(&receipt.signed));
+        let composed = compose_receipt(&content, &identity, signature_digest(&receipt.signed));
         WorkerResult::RejectionSigned(SignedRejection {
             request,
             status: rejection.status,
@@ -71,7 +71,7 @@
     });
 }
 
-/// The response that rejects a request: with a receipt, or the reason in plain text.
+/// The HTTP response that rejects a request, with the receipt as its body or else the reason in plain text.
 pub(crate) fn rejection_response(
     status: HttpStatus,
     reason: &str,
@@ -86,12 +86,13 @@
     HttpResponse::new(status, headers, format!("{reason}\n"))
 }
 
-/// Signs the receipt with a final outcome on a worker thread, where the client asked for a receipt.
+/// Starts to sign the receipt with a final outcome on a worker thread; the result is an error if the client asked for
+/// no receipt.
 pub(crate) fn sign_final_receipt(context: &mut Context, waiter: ReceiptWaiter, outcome: FinalOutcome) {
     let identity = context.directory.own_identity.clone();
     context.crypto_pool.submit(move || {
         let response = client_response(outcome);
-        let facts = ReceiptContent {
+        let content = ReceiptContent {
             receipt_id: &format!("receipt.{}", waiter.envelope.message_id),
             to: &waiter.envelope.from,
             original_id: &waiter.envelope.message_id,
@@ -101,8 +102,8 @@
             final_outcome: Some(response.outcome),
         };
         let receipt = match waiter.envelope.receipt.as_ref() {
-            Some(wanted) => {
-                compose_receipt(&facts, &identity, signature_digest(&wanted.signed)).map(Box::new)
+            Some(requested) => {
+                compose_receipt(&content, &identity, signature_digest(&requested.signed)).map(Box::new)
             }
             None => Err(As2Error::Missing("Disposition-Notification-To")),
         };
@@ -110,7 +111,7 @@
     });
 }
 
-/// The response that carries a final outcome.
+/// The HTTP response that carries a final outcome, and the receipt if there is one.
 pub(crate) fn final_response(
     envelope: &Envelope,
     outcome: FinalOutcome,
@@ -128,15 +129,16 @@
             body = receipt.body;
         }
         Err(error) if envelope.receipt.is_some() => warn!(%error, "receipt could not be signed"),
-        // Without a receipt only the status can say that the message may have taken effect.
+        // Without a receipt, only the status can tell the client that the message may have taken effect.
         Err(_) if outcome == FinalOutcome::Failed => status = HttpStatus::BAD_GATEWAY,
         Err(_) => {}
     }
     HttpResponse::new(status, headers, body)
 }
 
-/// The digest to sign a receipt with: the first one wanted that is not SHA-1; none for an unsigned receipt.
-fn signature_digest(wanted: &[Digest]) -> Option<Digest> {
-    let strong = wanted.iter().copied().find(|digest| *digest != Digest::Sha1);
-    strong.or((!wanted.is_empty()).then_some(Digest::Sha256))
+/// The digest to sign a receipt with: the first requested one that is not SHA-1, or SHA-256 if only SHA-1 was
+/// requested; none for an unsigned receipt.
+fn signature_digest(requested: &[Digest]) -> Option<Digest> {
+    let strong = requested.iter().copied().find(|digest| *digest != Digest::Sha1);
+    strong.or((!requested.is_empty()).then_some(Digest::Sha256))
 }
--- a/crates/as2-gateway/src/as2_server/submissions.rs
+++ b/crates/as2-gateway/src/as2_server/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions of clients: the sender is identified, the message opened on a worker thread, then given to the engine.
+//! Submissions from clients: the sender is identified, the message is decrypted and verified on a worker thread, and
+//! then submitted to the engine.
 
 use super::connections::HttpResponse;
 use super::receipts::{Rejection, INSUFFICIENT_SECURITY, UNEXPECTED_PROCESSING_ERROR};
@@ -13,29 +14,29 @@
 use cloverstile_engine::{Admission, FinalOutcome, SubmitRequest};
 use cloverstile_http::{Headers, Message};
 
-/// Reason of a conflict, as the client reads it.
+/// Text in the receipt of a message whose `Message-ID` belongs to a different message.
 const CONFLICT_REASON: &str =
     "this Message-ID was used for another message: with other content, of another class, \
                                for another partner or by another client";
 
-/// How the server goes on with a submission.
+/// What the server does next with a submission.
 pub(crate) enum NextStep {
-    /// The client waits for the final outcome.
+    /// Wait for the final outcome, which is sent as the response.
     AwaitOutcome,
-    /// A response is sent at once.
+    /// Send a response at once.
     Respond(HttpResponse),
-    /// The final outcome is known already.
+    /// Sign and send the receipt: the final outcome is already known.
     SendOutcome {
         waiter: ReceiptWaiter,
         outcome: FinalOutcome,
-        /// Whether the receipt is asynchronous: the submission itself is acknowledged at once.
-        deferred: bool,
+        /// Whether the receipt is asynchronous. If so, the submission itself is acknowledged at once.
+        async_receipt: bool,
     },
-    /// The message is rejected.
+    /// Reject the message, with a receipt if the client asked for one.
     Reject(Rejection),
 }
 
-/// Identifies the sender of a submission and starts to open it on a worker thread.
+/// Identifies the sender by `AS2-From` and starts to decrypt and verify the message on a worker thread.
 pub(crate) fn start_opening(
     context: &mut Context,
     request: RequestId,
@@ -52,7 +53,7 @@
             status: HttpStatus::UNPROCESSABLE_CONTENT,
             reason,
             envelope: Some(Box::new(envelope)),
-            disposition: UNEXPECTED_PROCESSING_ERROR,
+            disposition_modifier: UNEXPECTED_PROCESSING_ERROR,
         });
     }
     let certificate = context.directory.clients[client].clone();
@@ -65,13 +66,13 @@
     Ok(())
 }
 
-/// Rejects a request of a station that the settings don't name.
+/// The rejection of a request whose sender is not in the settings.
 pub(crate) fn unknown_sender(name: &str) -> Rejection {
     let reason = format!("AS2-From '{name}' is not known here");
     Rejection::without_receipt(HttpStatus::FORBIDDEN, reason)
 }
 
-/// Checks an opened submission and gives it to the engine.
+/// Checks a decrypted and verified submission against the settings and submits it to the engine.
 pub(crate) fn submit(context: &mut Context, submission: OpenedSubmission) -> NextStep {
     let OpenedSubmission { request, client, envelope, http_headers, opened } = submission;
     let opened = match opened {
@@ -81,7 +82,7 @@
                 status: HttpStatus::BAD_REQUEST,
                 reason: error.to_string(),
                 envelope: Some(envelope),
-                disposition: error.disposition_name(),
+                disposition_modifier: error.disposition_name(),
             })
         }
     };
@@ -93,12 +94,12 @@
             status: HttpStatus::UNPROCESSABLE_CONTENT,
             reason: reason.to_string(),
             envelope: Some(envelope),
-            disposition: disposition_of(&reason),
+            disposition_modifier: disposition_modifier(&reason),
         }),
     }
 }
 
-fn disposition_of(reason: &RejectionReason) -> &'static str {
+fn disposition_modifier(reason: &RejectionReason) -> &'static str {
     match reason {
         RejectionReason::InsufficientSecurity(_) => INSUFFICIENT_SECURITY,
         _ => UNEXPECTED_PROCESSING_ERROR,
@@ -114,8 +115,8 @@
 ) -> NextStep {
     let partner = usize::from(submit_request.destination.0);
     let admission = context.engine.submit(context.now(), submit_request);
-    let deferred = envelope.receipt.as_ref().is_some_and(|receipt| receipt.deliver_to.is_some());
-    let waiter = ReceiptWaiter { request: (!deferred).then_some(request), envelope, mic: opened.mic };
+    let async_receipt = envelope.receipt.as_ref().is_some_and(|receipt| receipt.deliver_to.is_some());
+    let waiter = ReceiptWaiter { request: (!async_receipt).then_some(request), envelope, mic: opened.mic };
     match admission {
         Admission::New(message) => {
             let in_flight = InFlightMessage {
@@ -126,18 +127,18 @@
                 waiters: vec![waiter],
             };
             context.messages.insert(message, in_flight);
-            acknowledge(deferred)
+            acknowledge(async_receipt)
         }
         Admission::InFlight(message) => {
             add_waiter(context, message, waiter);
-            acknowledge(deferred)
+            acknowledge(async_receipt)
         }
-        Admission::Completed(_, outcome) => NextStep::SendOutcome { waiter, outcome, deferred },
+        Admission::Completed(_, outcome) => NextStep::SendOutcome { waiter, outcome, async_receipt },
         Admission::Conflict => NextStep::Reject(Rejection {
             status: HttpStatus::CONFLICT,
             reason: CONFLICT_REASON.to_owned(),
             envelope: Some(Box::new(waiter.envelope)),
-            disposition: UNEXPECTED_PROCESSING_ERROR,
+            disposition_modifier: UNEXPECTED_PROCESSING_ERROR,
         }),
         Admission::Overloaded => not_admitted("as much is held as may be\n"),
         Admission::ShuttingDown => not_admitted("stopping\n"),
@@ -150,9 +151,9 @@
     }
 }
 
-/// A deferred submission is acknowledged at once; any other waits for its outcome.
-fn acknowledge(deferred: bool) -> NextStep {
-    if deferred {
+/// Acknowledges a submission with an asynchronous receipt at once; any other waits for its final outcome.
+fn acknowledge(async_receipt: bool) -> NextStep {
+    if async_receipt {
         NextStep::Respond(HttpResponse::empty(HttpStatus::ACCEPTED))
     } else {
         NextStep::AwaitOutcome
--- a/crates/as2-gateway/src/directory.rs
+++ b/crates/as2-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Settings, keys and certificates, loaded from files.
+//! Loads the settings and the keys and certificates that they name from files.
 
 use cloverstile_as2::{As2Error, Certificate, Identity};
 use cloverstile_settings::{parse, Config, Problems};
@@ -6,42 +6,42 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Why settings or keys can't be used.
+/// Why settings, keys or certificates cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A file that can't be read.
+    /// A file cannot be read.
     #[error("{path}: can't be read: {error}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause reported by the operating system.
         error: std::io::Error,
     },
-    /// Invalid settings.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] Problems),
-    /// A key or certificate that can't be used.
+    /// A key or certificate cannot be parsed or is not supported.
     #[error("{path}: {error}")]
     Key {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Why the key or certificate is not accepted.
         error: As2Error,
     },
-    /// A key file that others may read.
+    /// Users other than the owner have access to a key file.
     #[error("{path}: others may read this key (mode {mode:o}); run: chmod 600 {path}")]
     Permissions {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its permission bits.
+        /// Permission bits of the file.
         mode: u32,
     },
-    /// The partner's certificate has no key that content can be encrypted for.
+    /// The settings require encryption for a partner whose certificate does not allow it.
     #[error("{path}: nothing can be encrypted for partner '{partner}', whose key is not RSA; set encrypt = \"none\"")]
     EncryptionNotSupported {
-        /// The certificate.
+        /// File of the partner's certificate.
         path: PathBuf,
-        /// Name of the partner.
+        /// Name of the partner in the settings.
         partner: String,
     },
 }
@@ -50,14 +50,14 @@
     std::fs::read_to_string(path).map_err(|error| LoadError::Read { path: path.to_owned(), error })
 }
 
-/// Reads settings; paths in them are relative to the folder of the file.
+/// Loads the settings from a file. Relative paths in them are resolved against the directory of the file.
 ///
 /// # Errors
-/// A file that can't be read, or invalid settings.
+/// Fails if the file cannot be read or the settings are invalid.
 pub fn load_config(path: &Path) -> Result<Config, LoadError> {
     let mut config = parse(&path.display().to_string(), &read(path)?)?;
-    let folder = path.parent().unwrap_or(Path::new(""));
-    let resolve = |path: &mut PathBuf| *path = folder.join(&*path);
+    let base = path.parent().unwrap_or(Path::new(""));
+    let resolve = |path: &mut PathBuf| *path = base.join(&*path);
     resolve(&mut config.identity.key);
     resolve(&mut config.identity.certificate);
     config.clients.iter_mut().for_each(|client| resolve(&mut client.certificate));
@@ -65,10 +65,10 @@
     Ok(config)
 }
 
-/// Reads a station's key and certificate.
+/// Loads the private key and the certificate of an AS2 party. `name` is its AS2 name.
 ///
 /// # Errors
-/// Files that can't be read or used, and a key that other users may read.
+/// Fails if a file cannot be read or parsed, or if users other than the owner have access to the key file.
 pub fn load_identity(name: &str, key: &Path, certificate: &Path) -> Result<Identity, LoadError> {
     let metadata = std::fs::metadata(key).map_err(|error| LoadError::Read { path: key.to_owned(), error })?;
     let mode = metadata.permissions().mode() & 0o777;
@@ -82,7 +82,7 @@
         .map_err(|error| LoadError::Key { path: key.to_owned(), error })
 }
 
-/// Reads settings with all keys and certificates that they name.
+/// Loads the settings and all keys and certificates that they name.
 ///
 /// # Errors
 /// See [`LoadError`].
@@ -92,9 +92,9 @@
     Ok((config, directory))
 }
 
-/// Keys and certificates of all AS2 stations that a gateway communicates with.
+/// The gateway's own identity and the certificates of its clients and partners.
 pub struct Directory {
-    /// Key and certificate of the gateway itself.
+    /// AS2 name, private key and certificate of the gateway itself.
     pub own_identity: Arc<Identity>,
     /// Certificates of clients, in the order of the settings.
     pub clients: Vec<Arc<Certificate>>,
@@ -103,13 +103,13 @@
 }
 
 impl Directory {
-    /// Reads all keys and certificates that settings name.
+    /// Loads all keys and certificates that the settings name.
     ///
     /// # Errors
     /// See [`LoadError`].
     pub fn load(config: &Config) -> Result<Directory, LoadError> {
-        let station = &config.identity;
-        let own_identity = load_identity(&station.name, &station.key, &station.certificate)?;
+        let identity = &config.identity;
+        let own_identity = load_identity(&identity.name, &identity.key, &identity.certificate)?;
         let certificate = |path: &Path| {
             Certificate::from_pem(&read(path)?)
                 .map(Arc::new)
--- a/crates/as2-gateway/src/response_mapping.rs
+++ b/crates/as2-gateway/src/response_mapping.rs
@@ -1,24 +1,24 @@
-//! Mapping of responses: a partner's HTTP response to a transport outcome, a final outcome to a client's response.
-//! Free of I/O.
+//! Maps a partner's HTTP response to a transport outcome, and a final outcome to the response to the client. Performs
+//! no I/O.
 //!
-//! | a partner's response | transport outcome |
+//! | response of the partner | transport outcome |
 //! | --- | --- |
 //! | 2xx with a valid receipt, `processed` or `processed/warning` | `Processed` |
-//! | 2xx with any other receipt, an invalid one (signature, message, integrity check), or none | `Error` |
-//! | 2xx without a body where the receipt is asynchronous | none: the attempt goes on |
+//! | 2xx with any other receipt, an invalid receipt (signature, message id, integrity check) or no receipt | `Error` |
+//! | 2xx without a body, if the partner's receipts are asynchronous | none: the attempt stays in flight |
 //! | 429, 503 | `Rejected`, with the delay of `Retry-After` |
 //! | any other status | `Error` |
-//! | no connection within `connect_timeout`, or refused | `ConnectFailed` |
-//! | the connection ends or breaks after a byte was sent | `Reset` |
-//! | no response in time | timeout, by the engine's clock |
+//! | connection refused, or not established within `connect_timeout` | `ConnectFailed` |
+//! | connection closed or reset after a byte was sent | `Reset` |
+//! | no response in time | timeout, which the engine detects itself |
 //!
 //! | final outcome | HTTP | receipt | `Cloverstile-Answer` |
 //! | --- | --- | --- | --- |
-//! | delivered | 200 | `processed`, with the integrity check | `delivered` |
-//! | rejected by the engine | 503 with `Retry-After`: AS2 products resubmit, which is safe | `processed/error: refused` | `refused` |
-//! | failed | 200, so that products read the receipt and do not resubmit by themselves | `failed/failure: may-have-taken-effect` | `failed` |
+//! | delivered | 200 | `processed`, with the integrity check value | `delivered` |
+//! | rejected by the engine | 503 with `Retry-After`: AS2 products resubmit by themselves, which is safe | `processed/error: refused` | `refused` |
+//! | failed | 200, so that AS2 products read the receipt and do not resubmit by themselves | `failed/failure: may-have-taken-effect` | `failed` |
 //! | not admitted (overloaded, shutting down) | 503 with `Retry-After` | none | `not-taken` |
-//! | rejected at admission (unknown sender, partner or class, not opened, conflict) | 4xx | `processed/error: ...` where it can be signed | `rejected` |
+//! | rejected at admission (unknown sender, partner or class, failed decryption or signature, conflict) | 4xx | `processed/error: ...`, if the sender is known and asked for a receipt | `rejected` |
 
 use cloverstile::RateLimitStatus;
 use cloverstile_as2::{Disposition, Outcome, Receipt};
@@ -26,18 +26,18 @@
 use cloverstile_http::Headers;
 use std::time::Duration;
 
-/// Longest `Retry-After` of a partner that is honoured; a longer one is cut to this.
+/// Upper bound for the `Retry-After` of a partner; a longer delay is reduced to this.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
 
-/// The delay of `Retry-After` in seconds (RFC 9110, section 10.2.3). A date is ignored: clocks differ, and the
-/// delay counts from the receipt of the response.
+/// The delay that `Retry-After` gives in seconds (RFC 9110, section 10.2.3), counted from the arrival of the response.
+/// Zero is ignored, and so is a date, because the clocks of gateway and partner may differ.
 pub fn retry_after(headers: &Headers) -> Option<Duration> {
     let seconds: u64 = headers.get("retry-after")?.trim().parse().ok()?;
     (seconds > 0).then(|| Duration::from_secs(seconds).min(MAX_RETRY_AFTER))
 }
 
-/// A parameter of the first item of a structured list field, such as `r` in `"calls";r=5;t=1` (RFC 9651).
-fn parameter(field: &str, key: &str) -> Option<f64> {
+/// A numeric parameter of the first item of a structured list field, such as `r` in `"calls";r=5;t=1` (RFC 9651).
+fn list_parameter(field: &str, key: &str) -> Option<f64> {
     let item = field.split(',').next()?;
     item.split(';').skip(1).find_map(|parameter| {
         let (name, value) = parameter.split_once('=')?;
@@ -45,17 +45,17 @@
     })
 }
 
-/// The rate limit that a partner advertises: `RateLimit` (what remains) and `RateLimit-Policy` (quota and window in
-/// seconds), by the IETF's draft of these fields.
+/// The rate limit that a partner advertises in `RateLimit` (remaining quota) and `RateLimit-Policy` (quota and window
+/// in seconds), as the IETF draft of these fields defines them. A missing or invalid window counts as 1 second.
 pub fn rate_limit_status(headers: &Headers) -> Option<RateLimitStatus> {
     let policy = headers.get("ratelimit-policy")?;
-    let quota = parameter(policy, "q").filter(|q| q.is_finite() && *q > 0.0)?;
-    let window = parameter(policy, "w").filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
-    let remaining = parameter(headers.get("ratelimit")?, "r").filter(|r| r.is_finite() && *r >= 0.0)?;
+    let quota = list_parameter(policy, "q").filter(|q| q.is_finite() && *q > 0.0)?;
+    let window = list_parameter(policy, "w").filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
+    let remaining = list_parameter(headers.get("ratelimit")?, "r").filter(|r| r.is_finite() && *r >= 0.0)?;
     Some(RateLimitStatus { remaining: (remaining / quota).min(1.0), limit: quota / window })
 }
 
-/// The transport outcome of a response's status; none: the body decides.
+/// The transport outcome that a status code determines; none for 2xx, where the receipt determines it.
 pub fn outcome_of_status(status: u16, headers: &Headers) -> Option<TransportOutcome> {
     match status {
         200..=299 => None,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The transport outcome of a valid receipt.
+/// The transport outcome that the disposition of a valid receipt determines.
 pub fn outcome_of_receipt(receipt: &Receipt) -> TransportOutcome {
     match receipt.disposition {
         Disposition::Processed | Disposition::Warning(_) => TransportOutcome::Processed,
@@ -75,58 +75,58 @@
 /// Status code and reason phrase of an HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpStatus {
-    /// Status code.
+    /// Three-digit status code.
     pub code: u16,
-    /// Reason phrase.
+    /// Reason phrase of the status line.
     pub reason: &'static str,
 }
 
 impl HttpStatus {
-    /// Success.
+    /// The request was processed. For a submission, `Cloverstile-Answer` and the receipt tell the outcome.
     pub const OK: HttpStatus = HttpStatus { code: 200, reason: "OK" };
-    /// Accepted; the receipt follows on a connection of its own.
+    /// The submission was accepted; its receipt is sent later on a separate connection.
     pub const ACCEPTED: HttpStatus = HttpStatus { code: 202, reason: "Accepted" };
-    /// The request can't be read.
+    /// The request or the message in it cannot be parsed, decrypted or verified.
     pub const BAD_REQUEST: HttpStatus = HttpStatus { code: 400, reason: "Bad Request" };
-    /// The sender is unknown.
+    /// The sender is not in the settings.
     pub const FORBIDDEN: HttpStatus = HttpStatus { code: 403, reason: "Forbidden" };
-    /// No resource at this path.
+    /// The path is not one that the gateway serves.
     pub const NOT_FOUND: HttpStatus = HttpStatus { code: 404, reason: "Not Found" };
-    /// Another method is needed.
+    /// The method is not `POST`.
     pub const METHOD_NOT_ALLOWED: HttpStatus = HttpStatus { code: 405, reason: "Method Not Allowed" };
     /// The request arrived too slowly.
     pub const REQUEST_TIMEOUT: HttpStatus = HttpStatus { code: 408, reason: "Request Timeout" };
-    /// The id was used for another message.
+    /// The `Message-ID` was used for a different message.
     pub const CONFLICT: HttpStatus = HttpStatus { code: 409, reason: "Conflict" };
     /// The body exceeds its limit.
     pub const CONTENT_TOO_LARGE: HttpStatus = HttpStatus { code: 413, reason: "Content Too Large" };
-    /// The message can be read, but not admitted.
+    /// The message is valid but not admitted.
     pub const UNPROCESSABLE_CONTENT: HttpStatus = HttpStatus { code: 422, reason: "Unprocessable Content" };
     /// The header section exceeds its limit.
     pub const HEADER_FIELDS_TOO_LARGE: HttpStatus =
         HttpStatus { code: 431, reason: "Request Header Fields Too Large" };
-    /// The message may have taken effect, and no receipt can say so.
+    /// The message failed and may have taken effect; sent if the client asked for no receipt that could say so.
     pub const BAD_GATEWAY: HttpStatus = HttpStatus { code: 502, reason: "Bad Gateway" };
-    /// Nothing was done; a retry is safe.
+    /// The request had no effect; a retry is safe.
     pub const SERVICE_UNAVAILABLE: HttpStatus = HttpStatus { code: 503, reason: "Service Unavailable" };
 }
 
-/// The response to a client for a message's final outcome.
+/// What a client is told about the final outcome of its message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientResponse {
-    /// HTTP status, where the outcome is sent in the HTTP response.
+    /// HTTP status, if the outcome is sent in the response to the submission.
     pub status: HttpStatus,
-    /// Outcome in the receipt and in the field `Cloverstile-Answer`.
+    /// Outcome in the receipt and in the header field `Cloverstile-Answer`.
     pub outcome: Outcome,
     /// Disposition of the receipt.
     pub disposition: Disposition,
-    /// Explanation for people in the receipt.
+    /// Explanation for people, in the text part of the receipt.
     pub text: &'static str,
-    /// Value of `Retry-After`, in whole seconds.
+    /// Value of `Retry-After` in whole seconds, at least 1; none unless the message was rejected.
     pub retry_after: Option<u64>,
 }
 
-/// The response to a client for a final outcome.
+/// Maps a final outcome to the response to the client, by the table at the head of this module.
 pub fn client_response(outcome: FinalOutcome) -> ClientResponse {
     match outcome {
         FinalOutcome::Delivered => ClientResponse {
@@ -143,7 +143,7 @@
             text: "The message was not delivered and had no effect. Handing it in again is safe.",
             retry_after: Some(retry_delay.as_secs_f64().ceil().max(1.0) as u64),
         },
-        // AS2 clients cannot cancel a message; if one could, it would learn no more than this.
+        // AS2 has no way to cancel a message, so `Cancelled` does not occur; it would be reported like a failure.
         FinalOutcome::Failed | FinalOutcome::Cancelled => ClientResponse {
             status: HttpStatus::OK,
             outcome: Outcome::Failed,
--- a/crates/as2-gateway/src/test_cluster.rs
+++ b/crates/as2-gateway/src/test_cluster.rs
@@ -1,5 +1,7 @@
-//! Test cluster on loopback: fresh keys, settings, fake partners and clients around real gateways. For the demo, the
-//! testbench and tests over sockets; a running service uses nothing of it.
+//! Test cluster on the loopback interface: generated keys and settings for real gateways, with fake partners and
+//! clients.
+//!
+//! Used by the demo, the testbench and tests over sockets. A production gateway does not use this module.
 
 mod settings_text;
 mod spec;
@@ -22,37 +24,37 @@
 
 pub use spec::{gateway_name, ClassSpec, ClusterSpec, PartnerSpec};
 
-/// Why a test cluster could not be built.
+/// Why a test cluster could not be built or its gateways not started.
 #[derive(Debug, thiserror::Error)]
 pub enum TestClusterError {
-    /// Files or sockets.
+    /// A file or socket operation failed.
     #[error("test cluster: {0}")]
     Io(#[from] io::Error),
-    /// Keys.
+    /// A key or certificate could not be generated.
     #[error("test cluster: {0}")]
     Key(#[from] As2Error),
-    /// Settings that don't load.
+    /// The generated settings could not be loaded.
     #[error("test cluster: {0}")]
     Load(#[from] LoadError),
-    /// A gateway that does not start.
+    /// A gateway in this process failed.
     #[error("test cluster: {0}")]
     Service(#[from] ServiceError),
-    /// A gateway process, by its number, that does not become ready.
+    /// The gateway with this number did not become ready.
     #[error("test cluster: gateway {0} did not start")]
     Start(usize),
 }
 
-/// A built test cluster. Its files are removed when it is dropped.
+/// A test cluster with running partners. Its directory is removed when it is dropped.
 pub struct TestCluster {
-    /// What it was built from.
+    /// Specification that the cluster was built from.
     pub spec: ClusterSpec,
     /// Records what clients and partners observe.
     pub recorder: Recorder,
-    /// The running partners.
+    /// Running fake partners and their addresses.
     pub partners: Partners,
-    /// Keys and certificates of the clients.
+    /// AS2 names, private keys and certificates of the clients.
     pub clients: Arc<Vec<Identity>>,
-    /// Settings files, one for each gateway.
+    /// Settings files of the gateways, in the order of their numbers.
     pub settings_files: Vec<PathBuf>,
     folder: PathBuf,
     certificates: Vec<Certificate>,
@@ -63,35 +65,36 @@
     file.write_all(text.as_bytes())
 }
 
-/// Makes a station and writes its key and certificate as `NAME.key` and `NAME.crt`.
-fn make_station(folder: &Path, name: &str, key: NewKey) -> Result<Identity, TestClusterError> {
+/// Generates a key and a certificate and writes them to `NAME.key` and `NAME.crt`.
+fn create_identity(folder: &Path, name: &str, key: NewKey) -> Result<Identity, TestClusterError> {
     let (key_pem, certificate) = generate_identity(name, key, (2020, 1, 1), (2120, 1, 1))?;
     write_private(&folder.join(format!("{name}.key")), &key_pem)?;
     fs::write(folder.join(format!("{name}.crt")), &certificate)?;
     Ok(Identity::from_pem(name, &key_pem, &certificate)?)
 }
 
-/// Makes the station of a partner. The gateways find another certificate than its own where the specification says so.
-fn make_partner(folder: &Path, partner: &PartnerSpec) -> Result<FakePartner, TestClusterError> {
-    let identity = Arc::new(make_station(folder, &partner.name, partner.key)?);
+/// Creates a fake partner. With `certificate_mismatch`, the certificate file that the gateways read is replaced by
+/// one of another key.
+fn create_partner(folder: &Path, partner: &PartnerSpec) -> Result<FakePartner, TestClusterError> {
+    let identity = Arc::new(create_identity(folder, &partner.name, partner.key)?);
     if partner.certificate_mismatch {
-        make_station(folder, &partner.name, partner.key)?;
+        create_identity(folder, &partner.name, partner.key)?;
     }
     Ok(FakePartner {
         name: partner.name.clone(),
         identity,
         profile: partner.profile.clone(),
         endpoints: partner.zones.len(),
-        // Each site keeps its own memory of what it has seen.
+        // Endpoints recognize repeated messages only within their own zone.
         deduplication_groups: partner.zones.clone(),
     })
 }
 
 impl TestCluster {
-    /// Makes keys and settings in a new folder and starts the partners.
+    /// Generates keys and settings in `folder` and starts the partners. The gateways are not started.
     ///
     /// # Errors
-    /// Files and sockets that the system refuses, and keys that can't be made.
+    /// Fails if a file or socket operation fails or a key cannot be generated.
     pub fn build(
         folder: &Path,
         spec: ClusterSpec,
@@ -100,16 +103,16 @@
     ) -> Result<TestCluster, TestClusterError> {
         fs::create_dir_all(folder)?;
         let gateways: Vec<Identity> = (0..spec.gateways)
-            .map(|number| make_station(folder, &gateway_name(number), NewKey::Rsa2048))
+            .map(|number| create_identity(folder, &gateway_name(number), NewKey::Rsa2048))
             .collect::<Result<_, _>>()?;
         let certificates = gateways.iter().map(|gateway| gateway.certificate.clone()).collect();
         let certificates_by_name: HashMap<_, _> =
             gateways.into_iter().map(|gateway| (gateway.name, gateway.certificate)).collect();
         let clients: Vec<Identity> = (0..spec.clients)
-            .map(|number| make_station(folder, &format!("client-{number}"), NewKey::P256))
+            .map(|number| create_identity(folder, &format!("client-{number}"), NewKey::P256))
             .collect::<Result<_, _>>()?;
         let fake_partners: Vec<FakePartner> =
-            spec.partners.iter().map(|partner| make_partner(folder, partner)).collect::<Result<_, _>>()?;
+            spec.partners.iter().map(|partner| create_partner(folder, partner)).collect::<Result<_, _>>()?;
         let partners = Partners::start(fake_partners, certificates_by_name, recorder.clone(), seed)?;
         let settings_files =
             (0..spec.gateways).map(|number| folder.join(format!("courier-{number}.hcl"))).collect();
@@ -123,11 +126,12 @@
         Ok(cluster)
     }
 
-    /// Writes a gateway's settings: where it listens, and which endpoints (number of the partner, number of the endpoint)
-    /// drain. The file is replaced in one step, so that none is read half written.
+    /// Writes the settings of a gateway with its listening address and its draining endpoints, each given as the
+    /// number of the partner and the number of the endpoint there. The file is replaced atomically, so that a gateway
+    /// never reads a partly written one.
     ///
     /// # Errors
-    /// A file that can't be written.
+    /// Fails if the file cannot be written.
     pub fn write_settings(
         &mut self,
         gateway: usize,
@@ -148,7 +152,8 @@
         Ok(())
     }
 
-    /// Addresses and certificates of the gateways for clients, once the gateways listen.
+    /// What clients need to reach the gateways. `addresses` are the addresses that the gateways listen on, in the
+    /// order of their numbers.
     pub fn gateway_set(&self, addresses: Vec<SocketAddr>) -> GatewaySet {
         GatewaySet {
             running: addresses.iter().map(|_| AtomicBool::new(true)).collect(),
@@ -161,7 +166,7 @@
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        // The folder was made for this cluster alone; what can't be removed is left to the system.
+        // The directory belongs to this cluster alone. Errors are ignored: `drop` cannot report them.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/as2-gateway/src/test_cluster/settings_text.rs
+++ b/crates/as2-gateway/src/test_cluster/settings_text.rs
@@ -1,4 +1,4 @@
-//! Settings of the gateways of a test cluster, as HCL text.
+//! Generates the settings files of a test cluster's gateways as HCL text.
 
 use super::spec::{gateway_name, ClassSpec, ClusterSpec, PartnerSpec};
 use cloverstile_as2::NewKey;
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// What the settings of one gateway are made from.
+/// Input for the settings file of one gateway.
 pub(crate) struct SettingsInput<'a> {
     pub spec: &'a ClusterSpec,
     /// Number of the gateway instance.
@@ -15,14 +15,14 @@
     pub listen: SocketAddr,
     /// AS2 names of the clients.
     pub clients: Vec<&'a str>,
-    /// Addresses of the endpoints, by partner.
+    /// Addresses of the endpoints of each partner, in the order of the specification.
     pub partner_addresses: &'a [Vec<SocketAddr>],
-    /// Draining endpoints, each as the numbers of its partner and of the endpoint there.
+    /// Draining endpoints, each given as the number of the partner and the number of the endpoint there.
     pub draining: &'a BTreeSet<(usize, usize)>,
 }
 
 impl SettingsInput<'_> {
-    /// The whole settings file.
+    /// The complete text of the settings file.
     pub fn to_hcl(&self) -> String {
         let mut text = self.gateway_blocks();
         self.spec.classes.iter().for_each(|class| text.push_str(&class_block(class)));
@@ -60,7 +60,7 @@
              encrypt = \"{encrypt}\"\n  receipt = \"{receipt}\"\n",
             partner.name, partner.kind,
         );
-        // Writing to a String does not fail.
+        // Writing to a `String` cannot fail, so the results are ignored.
         if let Some(share) = partner.spill_share {
             let _ = writeln!(text, "  spill_share = {share}\n  lost_after = \"500ms\"\n  ramp = \"5s\"");
             for zone in partner.zones.iter().collect::<BTreeSet<_>>() {
--- a/crates/as2-gateway/src/test_cluster/spec.rs
+++ b/crates/as2-gateway/src/test_cluster/spec.rs
@@ -1,48 +1,49 @@
-//! What a test cluster consists of.
+//! Specification of a test cluster.
 
 use cloverstile_as2::NewKey;
 use cloverstile_fakes::model::ServerProfile;
 use std::time::Duration;
 
-/// A partner of the test cluster.
+/// A fake partner: its simulated servers, endpoints and AS2 options.
 #[derive(Clone, Debug)]
 pub struct PartnerSpec {
-    /// Name.
+    /// Name in the settings, which is also its AS2 name.
     pub name: String,
-    /// Kind of endpoints, by its name in the settings.
+    /// Name of the partner's `kind` in the settings.
     pub kind: String,
-    /// Simulated behaviour of its servers.
+    /// Simulated behaviour of the partner's servers.
     pub profile: ServerProfile,
-    /// Zone of each endpoint.
+    /// Zone number of each endpoint; its length is the number of endpoints.
     pub zones: Vec<usize>,
-    /// Kind of its key; content is encrypted for it where that is RSA.
+    /// Type of the partner's key. Messages are encrypted for the partner unless it is P-256.
     pub key: NewKey,
-    /// Whether its receipts are asynchronous.
+    /// Whether the partner sends asynchronous receipts.
     pub async_receipts: bool,
-    /// Whether the gateways hold another certificate than its own.
+    /// Whether the gateways have a certificate that does not match the partner's key.
     pub certificate_mismatch: bool,
-    /// Share that may spill to the next tier, with its zones as tiers in order; none: no failover between tiers.
+    /// Share of the messages for a lost tier that may spill over to the next one. Each of the partner's zones is a
+    /// tier, in ascending order. None: no failover between tiers.
     pub spill_share: Option<f64>,
 }
 
-/// A class of messages of the test cluster.
+/// A class of messages, with the policy that the gateways apply to it.
 #[derive(Clone, Debug)]
 pub struct ClassSpec {
-    /// Name.
+    /// Name in the settings.
     pub name: String,
-    /// `safe`, `keyed` or `unsafe`.
+    /// Effect: `safe`, `keyed` or `unsafe`.
     pub effect: String,
-    /// `all` or `zone`.
+    /// Group: `all` or `zone`.
     pub group: String,
-    /// Whether messages of one order key are delivered in order.
+    /// Whether messages with the same order key are delivered in order.
     pub ordered: bool,
-    /// Latency objective.
+    /// Latency objective, written in whole milliseconds.
     pub latency_objective: Duration,
-    /// Time after which a message expires.
+    /// Time from submission to the deadline, written in whole milliseconds.
     pub deadline: Duration,
-    /// Time in which partners drop repeats, for keyed classes.
+    /// How long partners recognize and drop repeated messages; for keyed classes.
     pub repeat_window: Duration,
-    /// Priority weight.
+    /// Priority weight relative to the other classes.
     pub priority_weight: f64,
 }
 
@@ -51,21 +52,21 @@
 pub struct ClusterSpec {
     /// Number of gateway instances.
     pub gateways: usize,
-    /// Number of client programs.
+    /// Number of clients, each with its own identity.
     pub clients: usize,
-    /// Partners.
+    /// Fake partners that the gateways deliver to.
     pub partners: Vec<PartnerSpec>,
-    /// Classes.
+    /// Classes of the messages that clients submit.
     pub classes: Vec<ClassSpec>,
-    /// Number of zones.
+    /// Number of zones, over which the gateways are distributed in turn.
     pub zones: usize,
-    /// Further lines for the block `courier` of the settings.
+    /// Additional lines for the block `courier` of the settings.
     pub gateway_settings: String,
-    /// The blocks `rules` and `kind` of the settings.
+    /// HCL text of the blocks `rules` and `kind` of the settings.
     pub rule_and_kind_blocks: String,
 }
 
-/// AS2 name of a gateway instance.
+/// AS2 name of the gateway instance with this number, counted from 0.
 pub fn gateway_name(number: usize) -> String {
     format!("courier-{number}")
 }
--- a/crates/as2-gateway/tests/admission.rs
+++ b/crates/as2-gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of submissions: each reason to reject one, and where its fields are read.
+//! Admission of submissions: the reasons for rejection and the precedence of header fields.
 
 use cloverstile::{OrderKey, Time};
 use cloverstile_as2::{Digest, Mic, OpenedMessage, Part, ReceiptRequest};
@@ -54,7 +54,7 @@
     OpenedMessage { payload, mic, signed, encrypted: false, compressed: false }
 }
 
-fn admitted(
+fn admit_from(
     client: usize,
     opened: &OpenedMessage,
     http: &[(&str, &str)],
@@ -66,11 +66,12 @@
     admit(Time(5), &config(), client, "m1", &headers, opened, None)
 }
 
-const GOOD: [(&str, &str); 2] = [("Cloverstile-Partner", "bank"), ("Cloverstile-Class", "pay")];
+const VALID_FIELDS: [(&str, &str); 2] = [("Cloverstile-Partner", "bank"), ("Cloverstile-Class", "pay")];
 
-fn rejection(changed: (&str, &str)) -> RejectionReason {
-    let fields: Vec<_> = GOOD.into_iter().filter(|(name, _)| *name != changed.0).chain([changed]).collect();
-    admitted(0, &opened(Some(Digest::Sha256), &[]), &fields).unwrap_err()
+fn rejection(replacement: (&str, &str)) -> RejectionReason {
+    let fields: Vec<_> =
+        VALID_FIELDS.into_iter().filter(|(name, _)| *name != replacement.0).chain([replacement]).collect();
+    admit_from(0, &opened(Some(Digest::Sha256), &[]), &fields).unwrap_err()
 }
 
 #[test]
@@ -79,20 +80,20 @@
         opened(Some(Digest::Sha256), &[("Cloverstile-Time-Left", "300"), ("Cloverstile-Class", "pay")]);
     let outer =
         [("Cloverstile-Partner", "bank"), ("Cloverstile-Class", "notice"), ("Cloverstile-Time-Left", "9")];
-    let submission = admitted(0, &inner, &outer).unwrap();
+    let submission = admit_from(0, &inner, &outer).unwrap();
     assert_eq!((submission.class.0, submission.deadline), (0, Time(5) + Duration::from_millis(300)));
-    assert_eq!(admitted(0, &inner, &GOOD).unwrap().fingerprint, submission.fingerprint);
+    assert_eq!(admit_from(0, &inner, &VALID_FIELDS).unwrap().fingerprint, submission.fingerprint);
 }
 
 #[test]
-fn time_left_is_capped_by_the_deadline_of_the_class() {
-    let late = [GOOD[0], GOOD[1], ("Cloverstile-Time-Left", "99999999")];
-    let submission = admitted(0, &opened(Some(Digest::Sha256), &[]), &late).unwrap();
+fn time_left_is_limited_to_the_deadline_of_the_class() {
+    let fields = [VALID_FIELDS[0], VALID_FIELDS[1], ("Cloverstile-Time-Left", "99999999")];
+    let submission = admit_from(0, &opened(Some(Digest::Sha256), &[]), &fields).unwrap();
     assert_eq!(submission.deadline, Time(5) + Duration::from_secs(8));
 }
 
 #[test]
-fn each_rejection_reason_is_reported() {
+fn invalid_submission_is_rejected_with_the_matching_reason() {
     assert!(matches!(rejection(("Cloverstile-Partner", "nobody")), RejectionReason::UnknownPartner(_)));
     assert!(matches!(rejection(("Cloverstile-Class", "none")), RejectionReason::UnknownClass { .. }));
     assert!(matches!(rejection(("Cloverstile-Class", "notice")), RejectionReason::MissingOrderKey(_)));
@@ -103,33 +104,40 @@
         RejectionReason::InvalidSubmissionKind(_)
     ));
     for (client, signed) in [(0, None), (0, Some(Digest::Sha1)), (1, Some(Digest::Sha256))] {
-        let error = admitted(client, &opened(signed, &[]), &GOOD).unwrap_err();
+        let error = admit_from(client, &opened(signed, &[]), &VALID_FIELDS).unwrap_err();
         assert!(matches!(error, RejectionReason::InsufficientSecurity(_)), "{client} {signed:?}");
     }
 }
 
 #[test]
-fn resubmission_marks_and_order_keys_reach_the_engine() {
-    let lost =
-        [GOOD[0], GOOD[1], ("Cloverstile-Handed-In", "after-loss"), ("Cloverstile-Order-Key", "employee")];
-    let submission = admitted(0, &opened(Some(Digest::Sha256), &[]), &lost).unwrap();
+fn resubmission_flags_and_order_key_are_passed_to_the_engine() {
+    let fields = [
+        VALID_FIELDS[0],
+        VALID_FIELDS[1],
+        ("Cloverstile-Handed-In", "after-loss"),
+        ("Cloverstile-Order-Key", "employee"),
+    ];
+    let submission = admit_from(0, &opened(Some(Digest::Sha256), &[]), &fields).unwrap();
     assert!(submission.from_lost_instance && submission.resubmitted);
-    let again = admitted(0, &opened(Some(Digest::Sha256), &[]), &lost).unwrap();
+    let again = admit_from(0, &opened(Some(Digest::Sha256), &[]), &fields).unwrap();
     assert!(submission.order_key.is_some_and(|OrderKey(key)| again.order_key == Some(OrderKey(key))));
 }
 
 #[test]
-fn receipts_are_sent_only_to_permitted_addresses() {
-    let ask = |client: usize, url: &str| {
+fn receipt_url_outside_the_permitted_prefix_is_rejected() {
+    let admit_receipt_url = |client: usize, url: &str| {
         let receipt = ReceiptRequest { deliver_to: Some(url.into()), signed: vec![Digest::Sha256] };
-        let headers = GOOD.iter().fold(Headers::new(), |all, (name, value)| all.with(name, *value));
+        let headers = VALID_FIELDS.iter().fold(Headers::new(), |all, (name, value)| all.with(name, *value));
         let opened = OpenedMessage { encrypted: true, ..opened(Some(Digest::Sha256), &[]) };
         admit(Time(5), &config(), client, "m1", &headers, &opened, Some(&receipt)).map(|_| ())
     };
-    assert_eq!(ask(0, "http://127.0.0.1:9000/receipts"), Ok(()));
+    assert_eq!(admit_receipt_url(0, "http://127.0.0.1:9000/receipts"), Ok(()));
     for (client, url) in
         [(0, "http://127.0.0.1:9001/"), (0, "http://10.0.0.1/"), (1, "http://127.0.0.1:9000/")]
     {
-        assert!(matches!(ask(client, url), Err(RejectionReason::ReceiptUrlNotAllowed(_))), "{client} {url}");
+        assert!(
+            matches!(admit_receipt_url(client, url), Err(RejectionReason::ReceiptUrlNotAllowed(_))),
+            "{client} {url}"
+        );
     }
 }
--- a/crates/as2-gateway/tests/response_mapping.rs
+++ b/crates/as2-gateway/tests/response_mapping.rs
@@ -1,4 +1,4 @@
-//! Meaning of a partner's HTTP response: rate limit fields, `Retry-After` and statuses.
+//! Mapping of a partner's HTTP response: rate limit fields, `Retry-After` and status codes.
 
 use cloverstile::RateLimitStatus;
 use cloverstile_as2_gateway::response_mapping::{
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn rate_limits_are_read_from_standard_fields_and_invalid_ones_ignored() {
+fn rate_limit_status_reads_rate_limit_fields_and_ignores_invalid_ones() {
     let status = |policy: &str, remaining: &str| {
         rate_limit_status(&Headers::new().with("RateLimit-Policy", policy).with("RateLimit", remaining))
     };
@@ -26,15 +26,15 @@
 }
 
 #[test]
-fn retry_after_is_in_seconds_and_bounded() {
-    let wait = |text: &str| retry_after(&Headers::new().with("Retry-After", text));
-    assert_eq!(wait("2"), Some(Duration::from_secs(2)));
-    assert_eq!(wait("99999999999"), Some(MAX_RETRY_AFTER));
-    assert_eq!((wait("0"), wait("-1"), wait("Fri, 31 Dec 1999 23:59:59 GMT")), (None, None, None));
+fn retry_after_reads_seconds_up_to_the_maximum_and_ignores_dates() {
+    let parse = |text: &str| retry_after(&Headers::new().with("Retry-After", text));
+    assert_eq!(parse("2"), Some(Duration::from_secs(2)));
+    assert_eq!(parse("99999999999"), Some(MAX_RETRY_AFTER));
+    assert_eq!((parse("0"), parse("-1"), parse("Fri, 31 Dec 1999 23:59:59 GMT")), (None, None, None));
 }
 
 #[test]
-fn only_429_and_503_are_rejections() {
+fn outcome_of_status_is_rejected_only_for_429_and_503() {
     let outcome = |status| outcome_of_status(status, &Headers::new());
     assert_eq!((outcome(200), outcome(202)), (None, None));
     assert_eq!(
