--- a/crates/cli/tests/client_connections.rs
+++ b/crates/cli/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! Every request that was read is answered, and what arrives behind a close is left unread: the real program, and clients
-//! whose bytes cross the end of their connection.
+//! Client connections of the real program at their end: every request that the gateway has read gets a reply, and what
+//! arrives after the gateway closed a connection is left unread, so that the client sees a reset.
 
 mod gateway_harness;
 
@@ -10,27 +10,29 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for the reset that tells it that its bytes were not read.
+/// Longest wait for the TCP reset that tells a client that its bytes were not read.
 const RESET_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time from the shutdown signal to the close of a resting connection, or from its last reply to that close.
+/// Longest time until an idle connection is closed, from the shutdown signal or from the last reply on it.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn running_gateway(name: &str) -> GatewayHarness {
+/// A started gateway with one endpoint for destination 3.
+fn started_gateway(name: &str) -> GatewayHarness {
     let mut harness = GatewayHarness::new(name, &[3]);
     harness.start();
     harness
 }
 
-/// A client that has had a reply and rests.
-fn resting_client(harness: &GatewayHarness) -> TcpStream {
+/// A client connection that has received a reply and has no request in flight.
+fn idle_client(harness: &GatewayHarness) -> TcpStream {
     let mut client = harness.connect_client();
     client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     assert_eq!(read_line(&mut client).unwrap(), "+PONG");
     client
 }
 
-/// Waits for the gateway's close, then sends a request that was under way; whether a reset tells that it was not read.
-fn is_reset_after_sending_behind_the_close(mut client: TcpStream) -> bool {
+/// Waits until the gateway closes the connection, then sends a request, as if it had crossed the close on the network.
+/// Returns whether a reset reports that the request was not read.
+fn is_reset_after_sending_on_closed_connection(mut client: TcpStream) -> bool {
     client.set_read_timeout(Some(CLOSE_TIMEOUT)).unwrap();
     assert_eq!(client.read(&mut [0; 16]).expect("an orderly end"), 0);
     client.write_all(&payment("crossing".into()).encode()).unwrap();
@@ -44,24 +46,30 @@
     false
 }
 
-/// A request that crosses the close of a resting connection. One that is read and has no reply is lost; one that is left
-/// unread is sent again by its client (incident-1).
+/// A request crosses the gateway's close of an idle connection, after the idle timeout and in a shutdown. Guards against
+/// a request that is read without a reply and so lost; the client sends an unread one again (incident-1).
 #[test]
-fn request_behind_the_close_of_a_resting_connection_is_left_unread() {
-    let idle = running_gateway("unread-idle");
-    let resting = resting_client(&idle);
-    assert!(is_reset_after_sending_behind_the_close(resting), "closed for idleness: its request was read");
-    let mut draining = running_gateway("unread-drain");
-    let resting = resting_client(&draining);
+fn request_sent_after_an_idle_connection_is_closed_is_not_read() {
+    let gateway = started_gateway("unread-idle");
+    let client = idle_client(&gateway);
+    assert!(
+        is_reset_after_sending_on_closed_connection(client),
+        "closed after the idle timeout: its request was read"
+    );
+    let mut draining = started_gateway("unread-drain");
+    let client = idle_client(&draining);
     let signalled = draining.request_shutdown();
-    assert!(is_reset_after_sending_behind_the_close(resting), "closed for a shutdown: its request was read");
+    assert!(
+        is_reset_after_sending_on_closed_connection(client),
+        "closed in a shutdown: its request was read"
+    );
     draining.wait_for_exit(signalled);
 }
 
-/// The end of a shutdown comes while a client is in the middle of a command: what was read of it gets a reply.
+/// A shutdown ends when a client has sent half of a command. Guards against a partly read command without a reply.
 #[test]
-fn half_a_command_at_the_end_of_a_shutdown_gets_a_reply() {
-    let mut harness = running_gateway("half-at-end");
+fn partial_command_at_the_end_of_a_shutdown_gets_a_reply() {
+    let mut harness = started_gateway("half-at-end");
     let signalled = harness.request_shutdown();
     std::thread::sleep(Duration::from_millis(300));
     let mut client = harness.connect_client();
@@ -73,15 +81,16 @@
     harness.wait_for_exit(signalled);
 }
 
-/// A client that ends its sending behind its last request still reads: it gets the reply, and then an orderly end.
+/// A client shuts down its sending side after its last request and still reads: it gets the reply, and then an orderly
+/// end of the connection.
 #[test]
-fn client_that_ends_its_sending_behind_a_request_gets_the_reply() {
-    let harness = running_gateway("half-open");
+fn client_that_half_closes_after_a_request_gets_the_reply() {
+    let harness = started_gateway("half-open");
     let mut client = harness.connect_client();
     client.write_all(&payment("only".into()).encode()).unwrap();
     client.shutdown(Shutdown::Write).unwrap();
     let mut replies = Vec::new();
     client.read_to_end(&mut replies).expect("an orderly end");
     assert_eq!(String::from_utf8_lossy(&replies), "+OK\r\n");
-    assert_eq!(harness.violations_at_the_end(), [""; 0]);
+    assert_eq!(harness.final_violations(), [""; 0]);
 }
--- a/crates/cli/tests/gateway_harness/manual_endpoint.rs
+++ b/crates/cli/tests/gateway_harness/manual_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that the test controls step by step.
+//! An endpoint that a test controls step by step, to force a certain order of events.
 
 use super::streams::{next_request, read_request, read_until};
 use super::EVENT_TIMEOUT;
@@ -14,8 +14,8 @@
 }
 
 impl ManualEndpoint {
-    /// With a backlog of one connection. The next one is established only when its side retries, a second after its first
-    /// try (1 s, 3 s, 7 s: the system's way), and only if there is room by then.
+    /// Listens with a backlog of one connection. A further connection is established only when the kernel of its client
+    /// retries, 1 s, 3 s or 7 s after the first try, and only if the backlog has room by then.
     pub fn new() -> ManualEndpoint {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -25,33 +25,34 @@
         ManualEndpoint { socket, address }
     }
 
-    /// The next connection, at most [`EVENT_TIMEOUT`] from now.
+    /// Accepts the next connection, which must arrive within [`EVENT_TIMEOUT`].
     pub fn accept(&self) -> TcpStream {
-        let stream: TcpStream = self.socket.accept().expect("a connection").0.into();
+        let stream: TcpStream = self.socket.accept().expect("no connection arrived in time").0.into();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream
     }
 
-    /// Fills the backlog until the next [`ManualEndpoint::accept`].
+    /// Fills the backlog, so that no connection is established until the next [`ManualEndpoint::accept`].
     pub fn fill_backlog(&self) -> TcpStream {
         TcpStream::connect(self.address).unwrap()
     }
 
-    /// Breaks the first request, and lets the next connection be established once `delay` has passed since: what arrives
-    /// on it within 0.3 s, and how long that is after the first request.
-    pub fn late_retry(&self, id: &str, delay: Duration) -> (String, Duration) {
+    /// Accepts the first connection, drops it after its request, and lets the next one be established only once `delay` has
+    /// passed since it was accepted. Returns what arrives on the second one within 0.3 s and the total time since the first.
+    pub fn delay_retry_connection(&self, id: &str, delay: Duration) -> (String, Duration) {
         let mut first = self.accept();
-        let began = Instant::now();
+        let started = Instant::now();
         assert!(read_request(&mut first).contains(id));
         let filler = self.fill_backlog();
         drop(first);
-        std::thread::sleep(delay.saturating_sub(began.elapsed()));
+        std::thread::sleep(delay.saturating_sub(started.elapsed()));
         drop((self.accept(), filler));
         let mut second = self.accept();
-        (read_until(&mut second, Instant::now() + Duration::from_millis(300)), began.elapsed())
+        (read_until(&mut second, Instant::now() + Duration::from_millis(300)), started.elapsed())
     }
 
-    /// From here on every request gets a response at once, on every connection; the requests with their times.
+    /// Responds with 200 to every further request on every connection, in threads of its own. Returns the growing list of
+    /// requests with the time of their arrival.
     pub fn respond_to_all(self) -> Arc<Mutex<Vec<(Instant, String)>>> {
         let requests = Arc::new(Mutex::new(Vec::new()));
         let received = requests.clone();
--- a/crates/cli/tests/gateway_harness/mod.rs
+++ b/crates/cli/tests/gateway_harness/mod.rs
@@ -1,4 +1,4 @@
-//! The real program beside fakes: platform, clients, and endpoints that act at an exact step.
+//! Runs the real program against a fake platform, with test clients and endpoints that act at an exact step.
 #![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 pub mod manual_endpoint;
@@ -17,12 +17,12 @@
 
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_cloverstile");
-/// How long a test waits for an event that must come.
+/// Longest wait for an event that must happen.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The platform kills a gateway that has not ended this long after its shutdown signal.
+/// The platform kills a gateway that is still running this long after the shutdown signal.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
 
-/// A gateway process with its configuration and state directory, beside a fake platform.
+/// A gateway process with its configuration and state directory, and the fake platform that it talks to.
 pub struct GatewayHarness {
     pub platform: Platform,
     pub directory: PathBuf,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until a condition holds, at most for a time; whether it does.
+/// Polls a condition until it holds or the time is over. Returns whether it holds.
 pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + timeout;
     while Instant::now() < end {
@@ -49,7 +49,7 @@
     condition()
 }
 
-/// A gateway whose one endpoint of destination 3 is controlled by the test.
+/// A gateway, not yet started, whose only endpoint for destination 3 is controlled by the test.
 pub fn harness_with_manual_endpoint(name: &str) -> (GatewayHarness, ManualEndpoint) {
     let (harness, endpoint) = (GatewayHarness::new(name, &[3]), ManualEndpoint::new());
     harness.edit_config(|config| {
@@ -58,16 +58,16 @@
     (harness, endpoint)
 }
 
-/// Sends a signal, by its option of `kill`, to a process.
+/// Sends a signal to a process; `name` is the option of `kill`, such as `-TERM`.
 pub fn send_signal(child: &Child, name: &str) {
     assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
 }
 
 impl GatewayHarness {
-    /// A platform with one endpoint for each of `destinations`, and a configuration; no gateway runs yet.
+    /// Starts a platform with one endpoint for each of `destinations` and writes a configuration. The gateway is not started.
     pub fn new(name: &str, destinations: &[u16]) -> GatewayHarness {
-        // The gateway's address must outlast its processes. Guards against a port that was free a moment ago and is
-        // another's when the gateway starts again: this whole address is nobody else's.
+        // The gateway keeps its address over restarts. A free port could be taken by another process before the gateway
+        // starts again, so each harness has a loopback address of its own.
         static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(64);
         let process = std::process::id();
         let directory = std::env::temp_dir().join(format!("cloverstile-resp-gateway-{process}-{name}"));
@@ -85,9 +85,9 @@
         self.directory.join("config.json")
     }
 
-    /// Writes the configuration, with the platform's discovery of this index.
+    /// Replaces the configuration file; `discovery` is the index of the platform's discovery address in it.
     pub fn configure(&self, discovery: usize) {
-        let lane = |name: &str, effect: &str, in_order: bool| {
+        let class = |name: &str, effect: &str, in_order: bool| {
             serde_json::json!({"Name": name, "Effect": effect, "Group": "all", "Aim": 1_000_000_000u64, "Deadline": 12_000_000_000u64,
                 "RepeatWindow": 8_000_000_000u64, "OneAtATime": in_order, "Worth": 1.0, "LateShare": 0.4})
         };
@@ -97,7 +97,7 @@
             "known": self.platform.endpoint_list(),
             "settings": {"Balancers": 1, "ClientHabits": {"MarksRetry": false}, "Discovery": "push", "Locality": 0,
                 "FamilyInfo": {"CallsOut": 16, "KindBatch": [1], "OwnLimits": [false], "Decay": "line"},
-                "Lanes": [lane("notice", "idempotency_key", true), lane("payment", "non_idempotent", false)],
+                "Lanes": [class("notice", "idempotency_key", true), class("payment", "non_idempotent", false)],
                 "MachineTypes": ["any"], "Zones": ["here"], "Permissions": {"MostHeld": 400, "SendCap": 8, "Cancel": true, "RetryAfter": false,
                 "ConnIdle": 5_000_000_000u64, "ConnectTimeout": 1_000_000_000u64}, "WeightSource": "nominal",
                 "Rules": {"AnswerSlack": 20_000_000, "OrderSettle": 100_000_000, "Cold": 10_000_000_000u64, "ColdFrom": 0.2,
@@ -108,14 +108,14 @@
         fs::rename(new_file, self.config_path()).unwrap();
     }
 
-    /// Changes the configuration.
+    /// Rewrites the configuration file with a change of its JSON.
     pub fn edit_config(&self, change: impl FnOnce(&mut serde_json::Value)) {
         let mut config = serde_json::from_str(&fs::read_to_string(self.config_path()).unwrap()).unwrap();
         change(&mut config);
         fs::write(self.config_path(), config.to_string()).unwrap();
     }
 
-    /// The command that starts the gateway.
+    /// The command that starts the gateway, by the subcommand's former name `node`, with its output discarded.
     pub fn command(&self) -> Command {
         let mut command = Command::new(PROGRAM);
         command
@@ -126,31 +126,31 @@
         command
     }
 
-    /// Starts the gateway and waits until it replies.
+    /// Starts the gateway and waits until it replies to a PING.
     pub fn start(&mut self) {
         let mut command = self.command();
         self.start_as(&mut command);
     }
 
-    /// Starts the gateway under faults of the machine and waits until it replies.
+    /// [`GatewayHarness::start`] with fault injection controlled by `faults`.
     pub fn start_with_faults(&mut self, faults: &FaultControl) {
         let mut command = self.command();
         faults.attach(&mut command).unwrap();
         self.start_as(&mut command);
     }
 
-    /// A control of the gateway's faults, without one so far.
+    /// Creates the fault injection control, with no fault set.
     pub fn fault_control(&self) -> FaultControl {
         FaultControl::create(&self.directory.join("faults")).unwrap()
     }
 
-    /// Whether a notification of this status came for a message.
-    pub fn is_notified(&self, id: &str, wanted: &str) -> bool {
-        let is_notification = |seen: &PlatformEvent| matches!(seen, PlatformEvent::Notification { id: of, status, .. } if of == id && status == wanted);
-        self.platform.events().iter().any(|(_, seen)| is_notification(seen))
+    /// Whether the platform has received a notification of this status for a message.
+    pub fn is_notified(&self, id: &str, expected_status: &str) -> bool {
+        let is_notification = |event: &PlatformEvent| matches!(event, PlatformEvent::Notification { id: other, status, .. } if other == id && status == expected_status);
+        self.platform.events().iter().any(|(_, event)| is_notification(event))
     }
 
-    /// Starts the gateway by another command and waits until it replies.
+    /// [`GatewayHarness::start`] with another command.
     pub fn start_as(&mut self, command: &mut Command) {
         self.gateway = Some(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
         let end = Instant::now() + EVENT_TIMEOUT;
@@ -162,12 +162,12 @@
                     return;
                 }
             }
-            assert!(Instant::now() < end, "it never replied to a PING");
+            assert!(Instant::now() < end, "the gateway never replied to a PING");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Kills the gateway.
+    /// Kills the gateway with SIGKILL, if it runs, and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut gateway) = self.gateway.take() {
             let _ = gateway.kill();
@@ -175,51 +175,54 @@
         }
     }
 
-    /// Sends the shutdown signal.
+    /// Sends the shutdown signal (SIGTERM) and returns the time just after it.
     pub fn request_shutdown(&self) -> Instant {
         send_signal(self.gateway.as_ref().unwrap(), "-TERM");
         Instant::now()
     }
 
-    /// Waits until the gateway has ended, at most until it would be killed.
+    /// Waits until the gateway has exited; fails once the platform would have killed it.
     pub fn wait_for_exit(&mut self, signalled: Instant) {
         let mut gateway = self.gateway.take().unwrap();
         while gateway.try_wait().unwrap().is_none() {
-            assert!(signalled.elapsed() < KILL_AFTER, "it would have been killed");
+            assert!(
+                signalled.elapsed() < KILL_AFTER,
+                "the gateway is still running when the platform would kill it"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// A client's connection to the gateway.
+    /// Connects a client to the gateway, with a read timeout of 8 s.
     pub fn connect_client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.listen).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
         stream
     }
 
-    /// Waits until every accepted message has its outcome, and returns the violated invariants.
-    pub fn violations_at_the_end(&self) -> Vec<String> {
+    /// Waits until every accepted message has its final outcome, at most [`EVENT_TIMEOUT`]. Returns the violated invariants.
+    pub fn final_violations(&self) -> Vec<String> {
         self.platform.wait_until(EVENT_TIMEOUT, |events| {
             !check_invariants(events).iter().any(|violation| violation.ends_with("is lost"))
         });
         check_invariants(&self.platform.events())
     }
 
-    /// How many requests for a message have arrived at endpoints.
+    /// Number of requests for a message that the platform's endpoints have received.
     pub fn request_count(&self, id: &str) -> usize {
         let is_request = |event: &PlatformEvent| matches!(event, PlatformEvent::RequestReceived { id: other, .. } if other == id);
         self.platform.events().iter().filter(|(_, event)| is_request(event)).count()
     }
 }
 
-/// A message of the ordered class with idempotency keys; order key 0 for none.
+/// A message of the ordered, keyed class `notice` with this order key, 0 for none.
 pub fn notice(id: String, key: u64) -> PutCommand {
     let body = [b"slip \r\n\x00\xff ".as_slice(), id.as_bytes()].concat();
     let idempotency = Some(format!("k-{id}"));
     PutCommand { id, key, class: "notice".into(), time_left_ms: 9000, destination: 3, idempotency, body }
 }
 
-/// A message of the class that may not be repeated.
+/// A message of the unsafe, unordered class `payment`.
 pub fn payment(id: String) -> PutCommand {
     PutCommand { key: 0, class: "payment".into(), idempotency: None, ..notice(id, 0) }
 }
--- a/crates/cli/tests/gateway_harness/streams.rs
+++ b/crates/cli/tests/gateway_harness/streams.rs
@@ -1,22 +1,22 @@
-//! Reading what the gateway sends on a connection.
+//! Reads what the gateway sends on a connection, with time limits.
 
 use std::io::Read;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Reads a whole HTTP request, to the end of its body.
+/// Reads one HTTP request with its body; fails if the connection ends or times out first.
 pub fn read_request(stream: &mut TcpStream) -> String {
-    next_request(stream).expect("a request in time")
+    next_request(stream).expect("no request arrived in time")
 }
 
-/// Reads a whole HTTP request; none where the connection ends or nothing arrives in time.
+/// Reads one HTTP request with its body; `None` if the connection ends or a read times out first.
 pub fn next_request(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         let count = stream.read(&mut buffer).ok().filter(|count| *count > 0)?;
         text.extend_from_slice(&buffer[..count]);
-        let Some(end) = text.windows(4).position(|four| four == b"\r\n\r\n") else { continue };
+        let Some(end) = text.windows(4).position(|window| window == b"\r\n\r\n") else { continue };
         let read = String::from_utf8_lossy(&text).into_owned();
         let length = read.lines().find_map(|line| line.strip_prefix("Content-Length: "));
         if text.len() - end - 4 >= length.map_or(0, |length| length.trim().parse().unwrap()) {
@@ -25,16 +25,16 @@
     }
 }
 
-/// What has arrived before a moment, which it waits for; it stays to be read. Guards against a read that returns late and
-/// counts what arrived after that moment.
+/// Waits until bytes have arrived or the connection has ended, at most until `end`, and returns the bytes without consuming
+/// them, or `closed`. A peek that returns after `end` does not count: its bytes may have arrived too late.
 pub fn received_before(stream: &TcpStream, end: Instant) -> String {
     let mut buffer = [0; 4096];
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return String::new();
         }
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1)))).unwrap();
+        stream.set_read_timeout(Some(remaining.max(Duration::from_millis(1)))).unwrap();
         match stream.peek(&mut buffer) {
             _ if Instant::now() >= end => {}
             Ok(0) => return "closed".into(),
@@ -44,16 +44,16 @@
     }
 }
 
-/// All that arrives until a moment, or until the connection ends.
+/// Reads everything that arrives until `end` or until the connection ends.
 pub fn read_until(stream: &mut TcpStream, end: Instant) -> String {
     let mut text = Vec::new();
     let mut buffer = [0; 4096];
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return String::from_utf8_lossy(&text).into_owned();
         }
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1)))).unwrap();
+        stream.set_read_timeout(Some(remaining.max(Duration::from_millis(1)))).unwrap();
         match stream.read(&mut buffer) {
             Ok(0) => return String::from_utf8_lossy(&text).into_owned(),
             Ok(count) => text.extend_from_slice(&buffer[..count]),
--- a/crates/cli/tests/late_responses.rs
+++ b/crates/cli/tests/late_responses.rs
@@ -1,5 +1,5 @@
-//! Responses that arrive behind the time that their request was given, and how long a key rests behind an attempt that may
-//! still run. Real connections; the bad order is forced.
+//! Responses that arrive after the deadline of their message, and the settle time: how long the next message of an order
+//! key waits after an abandoned attempt that may still run. Each test forces the faulty order of events on real connections.
 
 mod gateway_harness;
 
@@ -14,106 +14,112 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// The order key of the messages of a test.
-const KEY: u64 = 7;
-/// Time that a message has whose attempt ends with it.
-const SHORT_TIME: Duration = Duration::from_millis(800);
-/// How long a key rests behind an attempt that may still run (`Rules.OrderSettle`).
+/// Order key of all messages in a test.
+const ORDER_KEY: u64 = 7;
+/// Time until the deadline of a message whose attempt times out at that deadline.
+const SHORT_TIME_LEFT: Duration = Duration::from_millis(800);
+/// Settle time of the harness's configuration (`Rules.OrderSettle`).
 const SETTLE_TIME: Duration = Duration::from_millis(100);
-/// The same of another customer, longer than a restart takes.
+/// Settle time of another deployment, longer than a restart takes.
 const LONG_SETTLE_TIME: Duration = Duration::from_secs(2);
-/// More readings of the clock than a turn has ahead of the end of its attempts.
-const READINGS_IN_A_TURN: u64 = 8;
-/// How long a process may be held up.
-const HOLD_UP: Duration = Duration::from_millis(150);
-/// A moment behind another one.
-const MOMENT: Duration = Duration::from_millis(20);
-/// How late the end of a message may be, with the hold-up of the test.
-const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// Upper bound of the clock reads that a turn makes before it ends its timed-out attempts.
+const MAX_CLOCK_READS_PER_TURN: u64 = 8;
+/// How long the process is stalled.
+const STALL: Duration = Duration::from_millis(150);
+/// Short delay between two events, and the tolerance of compared times.
+const MARGIN: Duration = Duration::from_millis(20);
+/// Longest wait for a final outcome, including the stall that the test causes.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Submits two messages of a key, the first with little time, and returns the connection with the request of the first.
+/// Submits two messages of one order key, the first with a short deadline. Returns the connection on which the first one's
+/// request has arrived.
 fn first_in_flight_and_second_waiting(harness: &GatewayHarness, endpoint: &ManualEndpoint) -> TcpStream {
-    let first = PutCommand { time_left_ms: SHORT_TIME.as_millis() as u64, ..notice("first".into(), KEY) };
+    let first =
+        PutCommand { time_left_ms: SHORT_TIME_LEFT.as_millis() as u64, ..notice("first".into(), ORDER_KEY) };
     let mut client = harness.connect_client();
     assert_eq!(harness.platform.submit(&mut client, &first).unwrap(), "+OK");
-    assert_eq!(harness.platform.submit(&mut client, &notice("second".into(), KEY)).unwrap(), "+OK");
+    assert_eq!(harness.platform.submit(&mut client, &notice("second".into(), ORDER_KEY)).unwrap(), "+OK");
     let mut stream = endpoint.accept();
     assert!(read_request(&mut stream).contains("Req-Id: first"));
     stream
 }
 
-/// incident-10321: a 200 that arrives behind the time of its attempt, and is read in the same turn in which the attempt times
-/// out, was taken for a delivery: the message had no end, and the next one of its key was sent.
+/// A 200 arrived after its attempt's timeout and was read in the same turn in which the attempt timed out. Guards against
+/// counting it as a delivery, which left the message without a final outcome while the next one of its key was sent
+/// (incident-10321).
 #[test]
-fn response_read_together_with_the_timeout_of_its_attempt_is_no_delivery() {
+fn response_read_in_the_turn_of_its_attempt_timeout_is_not_a_delivery() {
     let (mut harness, endpoint) = harness_with_manual_endpoint("late-response");
     harness.start();
     let submitted = Instant::now();
     let mut stream = first_in_flight_and_second_waiting(&harness, &endpoint);
     let gateway = harness.gateway.as_ref().unwrap();
     send_signal(gateway, "-STOP");
-    std::thread::sleep((SHORT_TIME + Duration::from_millis(100)).saturating_sub(submitted.elapsed()));
+    std::thread::sleep((SHORT_TIME_LEFT + Duration::from_millis(100)).saturating_sub(submitted.elapsed()));
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     send_signal(gateway, "-CONT");
     let is_notified = || harness.is_notified("first", "undeliverable");
-    assert!(wait_until(END_TIMEOUT, is_notified), "the message has no end");
+    assert!(wait_until(OUTCOME_TIMEOUT, is_notified), "the message has no final outcome");
     let mut stream = endpoint.accept();
     assert!(read_request(&mut stream).contains("Req-Id: second"));
 }
 
-/// incident-10321: the time of a message was counted from when its submission was read. A 200 that came behind its time, as its
-/// client counts it, was taken for a delivery where the process had been held up ahead of that.
+/// The deadline was counted from when the submission was read. Guards against counting a 200 as a delivery that arrives
+/// after the deadline as the client counts it, when the process was stalled before it read the submission (incident-10321).
 #[test]
-fn response_behind_the_time_of_a_submission_that_was_read_late_is_no_delivery() {
+fn response_after_the_deadline_of_a_submission_read_late_is_not_a_delivery() {
     let (mut harness, endpoint) = harness_with_manual_endpoint("late-submission");
     harness.start();
     let mut client = harness.connect_client();
-    let put = PutCommand { time_left_ms: SHORT_TIME.as_millis() as u64, ..notice("first".into(), KEY) };
+    let put =
+        PutCommand { time_left_ms: SHORT_TIME_LEFT.as_millis() as u64, ..notice("first".into(), ORDER_KEY) };
     send_signal(harness.gateway.as_ref().unwrap(), "-STOP");
     client.write_all(&put.encode()).unwrap();
-    let over = Instant::now() + SHORT_TIME;
-    std::thread::sleep(HOLD_UP - 2 * MOMENT);
+    let deadline = Instant::now() + SHORT_TIME_LEFT;
+    std::thread::sleep(STALL - 2 * MARGIN);
     send_signal(harness.gateway.as_ref().unwrap(), "-CONT");
     assert_eq!(read_line(&mut client).unwrap(), "+OK");
-    let late = over.max(Instant::now() + SHORT_TIME - HOLD_UP) + MOMENT;
+    let response_at = deadline.max(Instant::now() + SHORT_TIME_LEFT - STALL) + MARGIN;
     let mut stream = endpoint.accept();
     assert!(read_request(&mut stream).contains("Req-Id: first"));
-    std::thread::sleep(late.saturating_duration_since(Instant::now()));
-    // The gateway may have given the request up.
+    std::thread::sleep(response_at.saturating_duration_since(Instant::now()));
+    // The write fails if the gateway has abandoned the request and closed the connection.
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let is_notified = || harness.is_notified("first", "undeliverable");
-    assert!(wait_until(END_TIMEOUT, is_notified), "the message has no end");
+    assert!(wait_until(OUTCOME_TIMEOUT, is_notified), "the message has no final outcome");
 }
 
-/// The settle time of a key counted from the time at which an attempt was abandoned as the process read it: where it was held up
-/// behind that reading, the next message of the key was sent a few milliseconds behind the end of the attempt's connection.
+/// The settle time counted from the clock reading by which the attempt was abandoned. When the process stalled after that
+/// reading, the next message of the key was sent a few milliseconds after the end of the attempt's connection.
 #[test]
-fn key_rests_behind_an_attempt_that_was_abandoned_in_a_hold_up() {
-    // One of the first readings of the clock behind the time-out is the one that the turn goes by.
-    let play =
-        |skipped: u64| std::thread::spawn(move || (skipped, rest_behind_an_abandoned_attempt(skipped)));
-    for thread in (0..READINGS_IN_A_TURN).map(play).collect::<Vec<_>>() {
-        let (skipped, rest) = thread.join().unwrap();
-        assert!(rest >= SETTLE_TIME - MOMENT, "reading {skipped}: {rest:?} behind the end of the attempt");
+fn settle_time_is_kept_after_an_attempt_abandoned_during_a_process_stall() {
+    // One of the first clock reads after the timeout is the one that the turn uses; the test stalls after each of them.
+    let run = |skipped: u64| std::thread::spawn(move || (skipped, delay_after_abandoned_attempt(skipped)));
+    for thread in (0..MAX_CLOCK_READS_PER_TURN).map(run).collect::<Vec<_>>() {
+        let (skipped, delay) = thread.join().unwrap();
+        assert!(
+            delay >= SETTLE_TIME - MARGIN,
+            "clock read {skipped}: {delay:?} after the end of the attempt"
+        );
     }
 }
 
-/// How long behind the end of an abandoned attempt the next message of its key is sent, where the process is held up behind one
-/// reading of its clock, after so many others.
-fn rest_behind_an_abandoned_attempt(skipped: u64) -> Duration {
+/// Time from the end of an abandoned attempt to the request for the next message of its key, when the process stalls right
+/// after one read of the monotonic clock, which follows `skipped` other reads.
+fn delay_after_abandoned_attempt(skipped: u64) -> Duration {
     let (mut harness, endpoint) = harness_with_manual_endpoint(&format!("settle-hold-up-{skipped}"));
     harness.edit_config(|config| config["settings"]["Lanes"][1]["OneAtATime"] = true.into());
     let faults = harness.fault_control();
     harness.start_with_faults(&faults);
-    let ordered = |id: &str| PutCommand { key: KEY, ..payment(id.into()) };
-    let first = PutCommand { time_left_ms: SHORT_TIME.as_millis() as u64, ..ordered("first") };
+    let ordered = |id: &str| PutCommand { key: ORDER_KEY, ..payment(id.into()) };
+    let first = PutCommand { time_left_ms: SHORT_TIME_LEFT.as_millis() as u64, ..ordered("first") };
     let mut client = harness.connect_client();
     assert_eq!(harness.platform.submit(&mut client, &first).unwrap(), "+OK");
     assert_eq!(harness.platform.submit(&mut client, &ordered("second")).unwrap(), "+OK");
     let mut stream = endpoint.accept();
     assert!(read_request(&mut stream).contains("Req-Id: first"));
-    std::thread::sleep(MOMENT);
-    let effect = Effect::Delay(HOLD_UP - MOMENT);
+    std::thread::sleep(MARGIN);
+    let effect = Effect::Delay(STALL - MARGIN);
     faults.set_rule(0, &Rule { skip: skipped, ..Rule::once(Call::MonotonicClock, effect) }).unwrap();
     assert_eq!(stream.read(&mut [0; 16]).expect("the gateway ends its sending"), 0);
     let ended = Instant::now();
@@ -122,10 +128,10 @@
     ended.elapsed()
 }
 
-/// Only an attempt that was in flight at a kill let its key rest in the next process. One that had been abandoned just before,
-/// its message ended and acknowledged, was forgotten.
+/// After a restart the settle time applied only to attempts that were in flight at the kill. Guards against forgetting an
+/// attempt that was abandoned just before it, whose message had its final outcome and an acknowledged notification.
 #[test]
-fn key_rests_over_a_restart_behind_an_attempt_that_was_abandoned() {
+fn settle_time_of_an_abandoned_attempt_is_kept_across_a_restart() {
     for (name, submitted_before) in [("settle-held", true), ("settle-new", false)] {
         let (mut harness, endpoint) = harness_with_manual_endpoint(name);
         harness.edit_config(|config| {
@@ -133,7 +139,7 @@
             config["settings"]["Rules"]["OrderSettle"] = (LONG_SETTLE_TIME.as_nanos() as u64).into();
         });
         harness.start();
-        let ordered = |id: &str| PutCommand { key: KEY, ..payment(id.into()) };
+        let ordered = |id: &str| PutCommand { key: ORDER_KEY, ..payment(id.into()) };
         let submit = |harness: &GatewayHarness, put: &PutCommand| {
             assert_eq!(harness.platform.submit(&mut harness.connect_client(), put).unwrap(), "+OK");
         };
@@ -145,8 +151,8 @@
         }
         assert_eq!(stream.read(&mut [0; 16]).expect("the gateway ends its sending"), 0);
         let ended = Instant::now();
-        assert!(wait_until(END_TIMEOUT, || harness.is_notified("first", "undeliverable")));
-        std::thread::sleep(MOMENT);
+        assert!(wait_until(OUTCOME_TIMEOUT, || harness.is_notified("first", "undeliverable")));
+        std::thread::sleep(MARGIN);
         harness.kill();
         harness.start();
         if !submitted_before {
@@ -154,7 +160,7 @@
         }
         let mut stream = endpoint.accept();
         assert!(read_request(&mut stream).contains("Req-Id: second"));
-        let rest = ended.elapsed();
-        assert!(rest >= LONG_SETTLE_TIME - MOMENT, "{name}: {rest:?} behind the end of the attempt");
+        let delay = ended.elapsed();
+        assert!(delay >= LONG_SETTLE_TIME - MARGIN, "{name}: {delay:?} after the end of the attempt");
     }
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program from outside: responses of the AS2 gateway to invalid requests, and exit codes of the command line.
+//! The program as its users see it: responses of the AS2 gateway to invalid requests, and exit codes and output of the
+//! subcommands.
 
 use cloverstile_as2::NewKey;
 use cloverstile_as2_gateway::test_cluster::{ClassSpec, ClusterSpec, PartnerSpec, TestCluster};
@@ -17,22 +18,23 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cloverstile");
 
-/// A gateway process with one partner and one client, and what is needed to talk to it.
-struct World {
+/// An AS2 gateway process with one partner and one client, and what a test needs to send to it.
+struct As2Harness {
     cluster: TestCluster,
-    folder: PathBuf,
+    directory: PathBuf,
     gateway: Child,
     address: SocketAddr,
 }
 
-impl Drop for World {
+impl Drop for As2Harness {
     fn drop(&mut self) {
         let _ = self.gateway.kill();
         let _ = self.gateway.wait();
     }
 }
 
-fn spec() -> ClusterSpec {
+/// One gateway, one client, and a partner `bank` that takes messages of the unsafe class `pay`.
+fn default_cluster_spec() -> ClusterSpec {
     let partner = PartnerSpec {
         name: "bank".into(),
         kind: "any".into(),
@@ -64,15 +66,17 @@
     }
 }
 
-fn world(name: &str) -> World {
-    world_of(name, spec(), |text| {
+/// A gateway with low limits of connections, body size and time for a request head.
+fn start_gateway(name: &str) -> As2Harness {
+    start_gateway_with(name, default_cluster_spec(), |text| {
         text.replace("connections = 4000", "connections = 3\n  body = \"4KiB\"\n  head_time = \"300ms\"")
     })
 }
 
-fn world_of(name: &str, spec: ClusterSpec, settings: impl Fn(String) -> String) -> World {
-    let folder = std::env::temp_dir().join(format!("cloverstile-program-{}-{name}", std::process::id()));
-    let cluster = TestCluster::build(&folder, spec, Recorder::default(), 1).unwrap();
+/// A gateway of this cluster; `settings` rewrites its settings file before the start.
+fn start_gateway_with(name: &str, spec: ClusterSpec, settings: impl Fn(String) -> String) -> As2Harness {
+    let directory = std::env::temp_dir().join(format!("cloverstile-program-{}-{name}", std::process::id()));
+    let cluster = TestCluster::build(&directory, spec, Recorder::default(), 1).unwrap();
     let text = fs::read_to_string(&cluster.settings_files[0]).unwrap();
     fs::write(&cluster.settings_files[0], settings(text)).unwrap();
     let mut gateway = Command::new(PROGRAM)
@@ -86,27 +90,30 @@
     BufReader::new(gateway.stdout.take().unwrap()).read_line(&mut line).unwrap();
     let announcement: serde_json::Value = serde_json::from_str(&line).unwrap();
     let address = announcement["listening"].as_str().unwrap().parse().unwrap();
-    World { cluster, folder, gateway, address }
+    As2Harness { cluster, directory, gateway, address }
 }
 
-impl World {
-    /// The whole response to some bytes, until the connection ends.
+impl As2Harness {
+    /// Sends raw bytes on a new connection and returns everything received until it ends.
     fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         stream.write_all(bytes).unwrap();
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).unwrap();
-        answer
+        let mut response = String::new();
+        stream.read_to_string(&mut response).unwrap();
+        response
     }
 
-    fn send(&self, change: &[&str]) -> Output {
-        self.send_content("salary 100", change)
+    /// Sends a message by the `send` subcommand; `overrides` holds pairs of an option and its value that replace or extend the
+    /// default ones.
+    fn send(&self, overrides: &[&str]) -> Output {
+        self.send_content("salary 100", overrides)
     }
 
-    fn send_content(&self, content: &str, change: &[&str]) -> Output {
-        let file = |name: &str| self.folder.join(name).display().to_string();
-        fs::write(self.folder.join("body"), content).unwrap();
+    /// [`As2Harness::send`] with this body.
+    fn send_content(&self, content: &str, overrides: &[&str]) -> Output {
+        let file = |name: &str| self.directory.join(name).display().to_string();
+        fs::write(self.directory.join("body"), content).unwrap();
         let mut arguments: Vec<String> = [
             "send",
             "--json",
@@ -130,9 +137,9 @@
             file("client-0.key"),
         ]);
         arguments.extend(["--certificate".into(), file("client-0.crt")]);
-        for pair in change.chunks(2) {
-            match arguments.iter().position(|known| known == pair[0]) {
-                Some(place) => arguments[place + 1] = pair[1].to_owned(),
+        for pair in overrides.chunks(2) {
+            match arguments.iter().position(|argument| argument == pair[0]) {
+                Some(index) => arguments[index + 1] = pair[1].to_owned(),
                 None => arguments.extend(pair.iter().map(|text| (*text).to_owned())),
             }
         }
@@ -140,14 +147,15 @@
         Command::new(PROGRAM).args(&arguments).output().unwrap()
     }
 
-    fn code(&self, change: &[&str]) -> i32 {
-        self.send(change).status.code().unwrap()
+    /// Exit code of [`As2Harness::send`].
+    fn send_exit_code(&self, overrides: &[&str]) -> i32 {
+        self.send(overrides).status.code().unwrap()
     }
 }
 
 #[test]
 fn invalid_requests_get_their_http_status() {
-    let world = world("status");
+    let harness = start_gateway("status");
     for (bytes, status) in [
         ("GET /as2 HTTP/1.1\r\nConnection: close\r\n\r\n", "405"),
         ("POST /other HTTP/1.1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "404"),
@@ -162,79 +170,79 @@
             "403",
         ),
     ] {
-        let answer = world.exchange(bytes.as_bytes());
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{bytes:?}: {answer}");
+        let response = harness.exchange(bytes.as_bytes());
+        assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{bytes:?}: {response}");
     }
 }
 
 #[test]
 fn connections_over_the_limit_get_503_and_others_are_served() {
-    let world = world("limit");
-    let held: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(world.address).unwrap()).collect();
-    // Each of them is known to the gateway once it has responded to something.
+    let harness = start_gateway("limit");
+    let held: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(harness.address).unwrap()).collect();
+    // A response shows that the gateway has accepted the connection and counts it.
     for mut stream in &held {
         stream.write_all(b"GET /as2 HTTP/1.1\r\n\r\n").unwrap();
-        let mut one = [0; 12];
-        stream.read_exact(&mut one).unwrap();
-        assert_eq!(&one, b"HTTP/1.1 405");
+        let mut start = [0; 12];
+        stream.read_exact(&mut start).unwrap();
+        assert_eq!(&start, b"HTTP/1.1 405");
     }
-    assert!(world.exchange(b"").starts_with("HTTP/1.1 503 "));
+    assert!(harness.exchange(b"").starts_with("HTTP/1.1 503 "));
 }
 
 #[test]
-fn a_client_that_never_reads_responses_is_no_longer_read_from() {
-    let world = world("unread");
-    let mut stream = TcpStream::connect(world.address).unwrap();
+fn client_that_never_reads_responses_is_no_longer_read_from() {
+    let harness = start_gateway("unread");
+    let mut stream = TcpStream::connect(harness.address).unwrap();
     stream.set_write_timeout(Some(Duration::from_millis(400))).unwrap();
-    let asked = "GET /as2 HTTP/1.1\r\n\r\n".repeat(4000);
-    let taken = (0..400).take_while(|_| stream.write_all(asked.as_bytes()).is_ok()).count();
-    assert!(taken < 400, "{} bytes were read from it", taken * asked.len());
-    // It was left waiting, and the gateway still serves others.
-    assert!(world.exchange(b"nonsense\r\n\r\n").starts_with("HTTP/1.1 400 "));
+    let requests = "GET /as2 HTTP/1.1\r\n\r\n".repeat(4000);
+    let accepted_writes = (0..400).take_while(|_| stream.write_all(requests.as_bytes()).is_ok()).count();
+    assert!(accepted_writes < 400, "the gateway read {} bytes from it", accepted_writes * requests.len());
+    // The gateway waits for this client to read, and still serves others.
+    assert!(harness.exchange(b"nonsense\r\n\r\n").starts_with("HTTP/1.1 400 "));
 }
 
 #[test]
 fn exit_code_of_send_is_the_outcome() {
-    let world = world("send");
-    assert_eq!(world.code(&["--id", "one@client-0"]), 0);
-    let again = world.send(&["--id", "one@client-0"]);
+    let harness = start_gateway("send");
+    assert_eq!(harness.send_exit_code(&["--id", "one@client-0"]), 0);
+    let again = harness.send(&["--id", "one@client-0"]);
     let result: serde_json::Value = serde_json::from_slice(&again.stdout).unwrap();
     assert_eq!((again.status.code(), result["answer"].as_str()), (Some(0), Some("delivered")));
-    assert_eq!(world.code(&["--partner", "nobody"]), 12);
-    assert_eq!(world.code(&["--class", "none"]), 12);
-    assert_eq!(world.code(&["--id", "one@client-0", "--time-left", "0"]), 12);
-    // A response signed by another station than the gateway is no valid receipt.
-    let other = world.folder.join("client-0.crt").display().to_string();
-    assert_eq!(world.code(&["--to-certificate", &other]), 13);
+    assert_eq!(harness.send_exit_code(&["--partner", "nobody"]), 12);
+    assert_eq!(harness.send_exit_code(&["--class", "none"]), 12);
+    assert_eq!(harness.send_exit_code(&["--id", "one@client-0", "--time-left", "0"]), 12);
+    // A receipt signed with another key than the gateway's is invalid.
+    let other = harness.directory.join("client-0.crt").display().to_string();
+    assert_eq!(harness.send_exit_code(&["--to-certificate", &other]), 13);
     let silent = PartnerCommand::Fault {
         partner: 0,
         fault: Fault::Silent,
         zone: None,
         duration: Duration::from_secs(60),
     };
-    world.cluster.partners.send(silent);
-    assert_eq!(world.code(&["--id", "two@client-0"]), 11);
+    harness.cluster.partners.send(silent);
+    assert_eq!(harness.send_exit_code(&["--id", "two@client-0"]), 11);
 }
 
 #[test]
 fn reusing_an_id_for_other_content_is_a_conflict() {
-    let world = world("conflict");
-    assert_eq!(world.code(&["--id", "one@client-0"]), 0);
+    let harness = start_gateway("conflict");
+    assert_eq!(harness.send_exit_code(&["--id", "one@client-0"]), 0);
     assert_eq!(
-        world.code(&["--id", "one@client-0", "--time-left", "500"]),
+        harness.send_exit_code(&["--id", "one@client-0", "--time-left", "500"]),
         0,
-        "the same message in less time"
+        "the same message with less time left"
     );
-    let other = world.send_content("salary 999", &["--id", "one@client-0"]);
+    let other = harness.send_content("salary 999", &["--id", "one@client-0"]);
     assert_eq!(other.status.code(), Some(12));
     let result: serde_json::Value = serde_json::from_slice(&other.stdout).unwrap();
     assert_eq!(result["status"], 409);
-    assert_eq!(world.code(&["--id", "one@client-0"]), 0, "the first one keeps its answer");
+    assert_eq!(harness.send_exit_code(&["--id", "one@client-0"]), 0, "the first message keeps its outcome");
 }
 
-/// Deployments start the gateways by the subcommands' former names too.
+/// Existing deployments start the gateways by the former names of the subcommands, which `--help` no longer lists.
 #[test]
-fn subcommands_run_under_their_present_and_former_names() {
+fn subcommands_accept_their_current_and_former_names() {
     for name in ["resp-gateway", "node"] {
         let mut command = Command::new(PROGRAM);
         command.arg(name).env("ROUTER_STATE", std::env::temp_dir()).env_remove("ROUTER_CONFIG");
@@ -257,44 +265,45 @@
     assert!(!is_listed("node") && !is_listed("serve"), "former names are hidden: {help}");
 }
 
-fn check(file: &Path) -> (Option<i32>, String) {
+/// Runs the `check` subcommand on a settings file; its exit code and standard error.
+fn run_check(file: &Path) -> (Option<i32>, String) {
     let output = Command::new(PROGRAM).arg("check").arg(file).output().unwrap();
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
 fn check_reports_invalid_settings_and_keys() {
-    let world = world("check");
-    let file = &world.cluster.settings_files[0];
-    assert_eq!(check(file).0, Some(0));
-    let good = fs::read_to_string(file).unwrap();
-    let bad = world.folder.join("bad.hcl");
-    fs::write(&bad, good.replace("effect = \"unsafe\"", "effect = \"maybe\"")).unwrap();
-    let (code, text) = check(&bad);
+    let harness = start_gateway("check");
+    let file = &harness.cluster.settings_files[0];
+    assert_eq!(run_check(file).0, Some(0));
+    let valid = fs::read_to_string(file).unwrap();
+    let invalid = harness.directory.join("bad.hcl");
+    fs::write(&invalid, valid.replace("effect = \"unsafe\"", "effect = \"maybe\"")).unwrap();
+    let (code, text) = run_check(&invalid);
     assert!(
         code == Some(3) && text.contains("effect is 'maybe'") && text.contains("safe, keyed, unsafe"),
         "{text}"
     );
-    fs::write(&bad, good.replace("\"bank.crt\"", "\"missing.crt\"")).unwrap();
-    let (code, text) = check(&bad);
+    fs::write(&invalid, valid.replace("\"bank.crt\"", "\"missing.crt\"")).unwrap();
+    let (code, text) = run_check(&invalid);
     assert!(code == Some(3) && text.contains("missing.crt"), "{text}");
-    fs::set_permissions(world.folder.join("courier-0.key"), fs::Permissions::from_mode(0o644)).unwrap();
-    let (code, text) = check(file);
+    fs::set_permissions(harness.directory.join("courier-0.key"), fs::Permissions::from_mode(0o644)).unwrap();
+    let (code, text) = run_check(file);
     assert!(code == Some(3) && text.contains("chmod 600"), "{text}");
 }
 
 #[test]
 fn keys_are_never_overwritten_and_readable_by_their_owner_only() {
-    let folder = std::env::temp_dir().join(format!("cloverstile-keys-{}", std::process::id()));
-    fs::create_dir_all(&folder).unwrap();
-    let make = || {
-        let arguments = ["keys", "station", "--kind", "p256", "--out", folder.to_str().unwrap()];
+    let directory = std::env::temp_dir().join(format!("cloverstile-keys-{}", std::process::id()));
+    fs::create_dir_all(&directory).unwrap();
+    let create_key = || {
+        let arguments = ["keys", "station", "--kind", "p256", "--out", directory.to_str().unwrap()];
         Command::new(PROGRAM).args(arguments).output().unwrap().status.code()
     };
-    assert_eq!((make(), make()), (Some(0), Some(1)));
-    let mode = fs::metadata(folder.join("station.key")).unwrap().permissions().mode();
+    assert_eq!((create_key(), create_key()), (Some(0), Some(1)));
+    let mode = fs::metadata(directory.join("station.key")).unwrap().permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    fs::remove_dir_all(&folder).unwrap();
+    fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
@@ -313,19 +322,19 @@
     assert_eq!((&kingston["zones"][0], &kingston["whole"]), (&"kingston".into(), &false.into()));
     assert_eq!(kingston["partners"][0]["binds"], "spill-share");
     assert!(kingston["best_worth"].as_f64() > kingston["worth"].as_f64());
-    // With little demand all is carried.
+    // With less demand, the capacity suffices after every loss.
     let (code, losses, _) = plan(&["--wanted", "alpha=0", "--wanted", "gamma=0"]);
     assert_eq!((code, losses.iter().all(|loss| loss["whole"] == true)), (Some(0), true));
-    let (code, _, why) = plan(&["--wanted", "delta=1"]);
-    assert!(code == Some(3) && why.contains("'delta'") && why.contains("alpha, beta, gamma"), "{why}");
+    let (code, _, error) = plan(&["--wanted", "delta=1"]);
+    assert!(code == Some(3) && error.contains("'delta'") && error.contains("alpha, beta, gamma"), "{error}");
 }
 
-/// A partner whose first connection breaks after a request, and whose next one is established after the repeat window: nothing
-/// is sent on it. Guards against a second effect, as the same case of the RESP gateway does.
+/// A partner's first connection breaks after a request, and the connection of the retry is established after the retry window.
+/// Guards against sending the retry on it, which could take effect a second time. `resp_gateway.rs` has the same case.
 #[test]
-fn a_repeat_whose_connection_opens_after_the_repeat_window_is_not_sent() {
-    let slow = gateway_harness::manual_endpoint::ManualEndpoint::new();
-    let mut spec = spec();
+fn as2_retry_is_not_sent_when_its_connection_is_established_after_the_retry_window() {
+    let endpoint = gateway_harness::manual_endpoint::ManualEndpoint::new();
+    let mut spec = default_cluster_spec();
     let (window, deadline) = (Duration::from_millis(1500), Duration::from_secs(9));
     spec.classes[0] = ClassSpec {
         effect: "keyed".into(),
@@ -335,15 +344,15 @@
         ..spec.classes[0].clone()
     };
     spec.gateway_settings += "\n  connect_timeout = \"6s\"";
-    let world = world_of("window", spec, |text| {
+    let harness = start_gateway_with("window", spec, |text| {
         let (head, tail) = text.split_once("address = \"").unwrap();
         let (_, tail) = tail.split_once('"').unwrap();
-        format!("{head}address = \"{}\"{tail}", slow.address)
+        format!("{head}address = \"{}\"{tail}", endpoint.address)
     });
     std::thread::scope(|scope| {
-        let sent = scope.spawn(|| world.code(&["--id", "late@client-0"]));
-        let (text, late) = slow.late_retry("late@client-0", Duration::from_millis(1600));
-        assert_eq!(text, "", "sent {late:?} after the first call");
-        assert_eq!(sent.join().unwrap(), 11, "it may have taken effect, and the exit code says so");
+        let sent = scope.spawn(|| harness.send_exit_code(&["--id", "late@client-0"]));
+        let (text, late) = endpoint.delay_retry_connection("late@client-0", Duration::from_millis(1600));
+        assert_eq!(text, "", "sent {late:?} after the first request");
+        assert_eq!(sent.join().unwrap(), 11, "exit code 11: it may have taken effect");
     });
 }
--- a/crates/cli/tests/stored_data.rs
+++ b/crates/cli/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! The gateway started on state folders that earlier versions wrote: what it sends and reports, as seen on sockets.
-//! The folders and what they hold: `crates/wal/tests/data/README.md`.
+//! The gateway started on state directories that earlier versions wrote: the requests and notifications that it sends.
+//! `crates/wal/tests/data/README.md` describes these directories.
 
 mod gateway_harness;
 
@@ -9,17 +9,17 @@
 use std::fs;
 use std::path::Path;
 
-/// Every request to an endpoint (`message key body`) and every notification (`message status`) after a start on a
-/// stored folder, once there are `count` of them.
-fn observed_after_start(folder: &str, count: usize) -> BTreeSet<String> {
-    let mut harness = GatewayHarness::new(folder, &[3, 3]);
-    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../wal/tests/data").join(folder);
+/// Starts a gateway on a copy of a stored state directory, waits for `count` requests and notifications, and shuts it down.
+/// Returns each request as `ID sent key=KEY body=BODY` and each notification as `ID STATUS`.
+fn events_after_start_on_stored_data(directory: &str, count: usize) -> BTreeSet<String> {
+    let mut harness = GatewayHarness::new(directory, &[3, 3]);
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../wal/tests/data").join(directory);
     for entry in fs::read_dir(source).unwrap() {
         let entry = entry.unwrap();
         fs::copy(entry.path(), harness.directory.join("state").join(entry.file_name())).unwrap();
     }
     harness.start();
-    let describe = |seen: &PlatformEvent| match seen {
+    let describe = |event: &PlatformEvent| match event {
         PlatformEvent::RequestReceived { id, idempotency, body, .. } => {
             let key = idempotency.as_deref().unwrap_or("-");
             Some(format!("{id} sent key={key} body={}", String::from_utf8_lossy(body)))
@@ -27,25 +27,26 @@
         PlatformEvent::Notification { id, status, .. } => Some(format!("{id} {status}")),
         _ => None,
     };
-    harness.platform.wait_until(EVENT_TIMEOUT, |seen| {
-        seen.iter().filter_map(|(_, seen)| describe(seen)).count() >= count
+    harness.platform.wait_until(EVENT_TIMEOUT, |events| {
+        events.iter().filter_map(|(_, event)| describe(event)).count() >= count
     });
-    // A clean stop: whatever else would be sent or reported has been by its end.
+    // After an orderly shutdown nothing more can arrive.
     let signalled = harness.request_shutdown();
     harness.wait_for_exit(signalled);
-    let all: Vec<String> = harness.platform.events().iter().filter_map(|(_, seen)| describe(seen)).collect();
+    let all: Vec<String> =
+        harness.platform.events().iter().filter_map(|(_, event)| describe(event)).collect();
     let distinct: BTreeSet<String> = all.iter().cloned().collect();
-    assert_eq!(distinct.len(), all.len(), "something came twice: {all:?}");
+    assert_eq!(distinct.len(), all.len(), "a request or notification arrived twice: {all:?}");
     distinct
 }
 
-fn set(lines: &[&str]) -> BTreeSet<String> {
+fn line_set(lines: &[&str]) -> BTreeSet<String> {
     lines.iter().map(|line| (*line).to_owned()).collect()
 }
 
 #[test]
-fn gateway_on_a_stored_log_with_time_left_delivers_what_never_ran_and_reports_the_rest() {
-    let expected = set(&[
+fn gateway_recovering_unexpired_messages_delivers_those_that_never_ran_and_reports_the_rest() {
+    let expected = line_set(&[
         "untried-payment sent key=- body=body of untried-payment",
         "untried-notice sent key=k2 body=body of untried-notice",
         "never-ran-payment sent key=- body=body of never-ran-payment",
@@ -58,12 +59,12 @@
         "owed-deferred deferred",
         "owed-undeliverable undeliverable",
     ]);
-    assert_eq!(observed_after_start("time-left", expected.len()), expected);
+    assert_eq!(events_after_start_on_stored_data("time-left", expected.len()), expected);
 }
 
 #[test]
-fn gateway_on_the_stored_log_of_a_killed_one_reports_every_expired_message() {
-    let expected = set(&[
+fn gateway_recovering_the_log_of_a_killed_process_reports_every_expired_message() {
+    let expected = line_set(&[
         "notice-0 undeliverable",
         "notice-2 deferred",
         "notice-4 deferred",
@@ -81,12 +82,12 @@
         "payment-14 deferred",
         "payment-15 deferred",
     ]);
-    assert_eq!(observed_after_start("gateway-killed", expected.len()), expected);
+    assert_eq!(events_after_start_on_stored_data("gateway-killed", expected.len()), expected);
 }
 
 #[test]
-fn gateway_on_a_stored_log_with_two_segments_reports_the_messages_of_the_newer() {
-    let expected = set(&[
+fn gateway_recovering_two_segments_reports_the_messages_of_the_newer_one() {
+    let expected = line_set(&[
         "untried-notice deferred",
         "out-payment undeliverable",
         "out-notice undeliverable",
@@ -99,5 +100,5 @@
         "owed-deferred deferred",
         "owed-undeliverable undeliverable",
     ]);
-    assert_eq!(observed_after_start("two-segments", expected.len()), expected);
+    assert_eq!(events_after_start_on_stored_data("two-segments", expected.len()), expected);
 }
