--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `cloverstile check`: checks settings, keys and certificates.
+//! `cloverstile check`: validates settings, keys and certificates without starting a gateway.
 
 use crate::exit_status::ExitStatus;
 use clap::Args;
@@ -17,7 +17,7 @@
 }
 
 impl Check {
-    /// Runs the subcommand.
+    /// Loads the settings with their keys and certificates, and prints a summary or all problems.
     pub fn run(&self) -> ExitStatus {
         match load(&self.file) {
             Ok((config, _)) => {
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `cloverstile demo`: a test cluster on loopback with two partners at fault.
+//! `cloverstile demo`: runs gateways, fake partners and a client on loopback while two of the partners are faulty.
 
 mod report;
 mod scenario;
@@ -18,11 +18,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Part of the run that each fault lasts.
-const FAULT_PART: f64 = 0.3;
-/// Share of its responses that the second faulty partner loses.
-const LOST_RESPONSES: f64 = 0.2;
-/// Interval at which the progress bar is redrawn.
+/// Duration of each fault, as a share of the run.
+const FAULT_DURATION_SHARE: f64 = 0.3;
+/// Share of its responses that the second faulty partner truncates, so that the gateway can't read the outcome.
+const LOST_RESPONSE_SHARE: f64 = 0.2;
+/// Interval between updates of the progress bar.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Arguments of `demo`.
@@ -45,14 +45,16 @@
     json: bool,
 }
 
+/// A gateway on a thread of its own.
 struct RunningGateway {
     address: SocketAddr,
     shutdown_handle: ShutdownHandle,
+    /// Ends with none if the gateway could not start or failed.
     thread: std::thread::JoinHandle<Option<RunSummary>>,
 }
 
 impl Demo {
-    /// Runs the test cluster and prints the outcomes.
+    /// Runs the test cluster and prints the outcomes; fails if a message is unanswered or took effect twice.
     pub fn run(&self) -> ExitStatus {
         let folder = std::env::temp_dir().join(format!("cloverstile-demo-{}", std::process::id()));
         match self.run_cluster(&folder) {
@@ -64,6 +66,7 @@
         }
     }
 
+    /// Starts the cluster, sends all messages, shuts the gateways down and returns what was recorded.
     fn run_cluster(&self, folder: &Path) -> Result<Recorder, TestClusterError> {
         let recorder = Recorder::default();
         if !self.json {
@@ -79,22 +82,23 @@
         self.send_messages(&cluster, &cluster.gateway_set(addresses), &recorder)?;
         for gateway in running {
             gateway.shutdown_handle.shut_down();
-            // A gateway that panicked has printed so; messages that it left unanswered are in the table.
+            // The panic message of a gateway is already on standard error, and the report counts the messages that it
+            // left unanswered.
             let _ = gateway.thread.join();
         }
         Ok(recorder)
     }
 
-    /// Lets the client submit while two partners are at fault.
+    /// Injects the faults, and submits the messages from one client while the progress bar is updated.
     fn send_messages(
         &self,
         cluster: &TestCluster,
         gateways: &GatewaySet,
         recorder: &Recorder,
     ) -> Result<(), TestClusterError> {
-        let span = Duration::from_secs_f64(f64::from(self.messages) / f64::from(self.rate));
-        let messages = scenario::plan_messages(self.messages, span, self.seed, recorder.now());
-        inject_faults(cluster, span.mul_f64(FAULT_PART));
+        let run_duration = Duration::from_secs_f64(f64::from(self.messages) / f64::from(self.rate));
+        let messages = scenario::plan_messages(self.messages, run_duration, self.seed, recorder.now());
+        inject_faults(cluster, run_duration.mul_f64(FAULT_DURATION_SHARE));
         let progress = Progress::default();
         let bar = self.progress_bar();
         std::thread::scope(|scope| {
@@ -120,6 +124,7 @@
         bar
     }
 
+    /// Prints the report; success only if each message has a final outcome and took effect once at most.
     fn report(&self, recorder: &Recorder) -> ExitStatus {
         let report = Report::from_record(&recorder.lines());
         if self.json {
@@ -135,13 +140,14 @@
     }
 }
 
-/// Starts a gateway on a thread: its event loop must stay on the thread that made it.
+/// Starts a gateway on a thread of its own, because its event loop must stay on the thread that created it. `number` is
+/// its position in the cluster, for errors.
 fn start_gateway(number: usize, file: &Path, seed: u64) -> Result<RunningGateway, TestClusterError> {
     let (config, directory) = load(file)?;
     let (sender, receiver) = std::sync::mpsc::channel();
     let thread = std::thread::spawn(move || {
         let mut service = Service::start(config, directory, None, seed).ok()?;
-        // The receiver waits for this, or the demo has ended.
+        // Sending fails only if the receiver is gone, which means that the demo has ended.
         let _ = sender.send((service.address(), service.shutdown_handle()));
         service.run().ok()
     });
@@ -149,10 +155,10 @@
     Ok(RunningGateway { address, shutdown_handle, thread })
 }
 
-/// Makes one partner silent and another one lose responses.
+/// Makes one partner silent and truncates responses of another one, for `duration` from now on.
 fn inject_faults(cluster: &TestCluster, duration: Duration) {
     let silent = PartnerCommand::Fault { partner: 1, fault: Fault::Silent, zone: None, duration };
     cluster.partners.send(silent);
-    let fault = Fault::TruncateResponses(LOST_RESPONSES);
+    let fault = Fault::TruncateResponses(LOST_RESPONSE_SHARE);
     cluster.partners.send(PartnerCommand::Fault { partner: 2, fault, zone: None, duration });
 }
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -1,10 +1,10 @@
-//! Results of the demo, from what clients and partners recorded.
+//! Report of the demo, computed from the events that clients and partners recorded.
 
 use cloverstile_fakes::record::{ObservedEvent, RecordLine, ReportedOutcome};
 use comfy_table::{presets::UTF8_BORDERS_ONLY, Table};
 use std::collections::{BTreeMap, HashMap};
 
-/// Messages of a class by their last reported outcome.
+/// Number of messages of a class by their last reported outcome.
 #[derive(Default)]
 struct OutcomeCounts {
     delivered: u32,
@@ -14,6 +14,7 @@
 }
 
 impl OutcomeCounts {
+    /// Counts one message; without a final outcome it is unanswered.
     fn add(&mut self, outcome: Option<&ReportedOutcome>) {
         match outcome {
             Some(ReportedOutcome::Delivered) => self.delivered += 1,
@@ -23,32 +24,33 @@
         }
     }
 
-    /// The counts in the order of the report's columns.
+    /// The counts in the order of the table's columns and of the JSON arrays.
     fn columns(&self) -> [u32; 4] {
         [self.delivered, self.refused, self.failed, self.unanswered]
     }
 }
 
-/// Outcomes of all messages of a run.
+/// Outcomes of all messages of a run, by class.
 pub struct Report {
+    /// Number of messages submitted.
     messages: usize,
     outcomes: BTreeMap<String, OutcomeCounts>,
-    /// Messages that took effect more than once.
+    /// Number of messages that took effect more than once at a partner.
     duplicates: usize,
 }
 
 impl Report {
-    /// Counts the outcomes in a record.
+    /// Counts the outcomes and effects in the recorded events. The last outcome reported for a message counts.
     pub fn from_record(events: &[RecordLine]) -> Report {
         let mut class_of = HashMap::new();
-        let mut effects: HashMap<&str, u32> = HashMap::new();
+        let mut effect_counts: HashMap<&str, u32> = HashMap::new();
         let mut last_outcome = HashMap::new();
         for recorded in events {
             match &recorded.event {
                 ObservedEvent::Submitted { id, class, .. } => {
                     class_of.insert(id.as_str(), class);
                 }
-                ObservedEvent::EffectApplied { id, .. } => *effects.entry(id).or_default() += 1,
+                ObservedEvent::EffectApplied { id, .. } => *effect_counts.entry(id).or_default() += 1,
                 ObservedEvent::Answered { id, outcome, .. } => {
                     last_outcome.insert(id.as_str(), outcome);
                 }
@@ -60,10 +62,11 @@
             let counts = outcomes.entry((*class).clone()).or_default();
             counts.add(last_outcome.get(id).copied());
         }
-        let duplicates = effects.values().filter(|count| **count > 1).count();
+        let duplicates = effect_counts.values().filter(|count| **count > 1).count();
         Report { messages: class_of.len(), outcomes, duplicates }
     }
 
+    /// Number of messages without a final outcome.
     fn unanswered(&self) -> u32 {
         self.outcomes.values().map(|counts| counts.unanswered).sum()
     }
@@ -73,18 +76,18 @@
         self.duplicates == 0 && self.unanswered() == 0
     }
 
-    /// Prints one line of JSON.
+    /// Prints the report as one line of JSON.
     pub fn print_json(&self) {
-        let answers: BTreeMap<&String, [u32; 4]> =
+        let outcome_counts: BTreeMap<&String, [u32; 4]> =
             self.outcomes.iter().map(|(class, counts)| (class, counts.columns())).collect();
         let summary = serde_json::json!({
-            "messages": self.messages, "answers": answers, "effects_twice": self.duplicates,
+            "messages": self.messages, "answers": outcome_counts, "effects_twice": self.duplicates,
             "unanswered": self.unanswered(),
         });
         println!("{summary}");
     }
 
-    /// Prints a table.
+    /// Prints the report as a table with one row per class, followed by a summary.
     pub fn print_table(&self) {
         let mut table = Table::new();
         table.load_preset(UTF8_BORDERS_ONLY);
--- a/crates/cli/src/demo/scenario.rs
+++ b/crates/cli/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! Test cluster and messages of the demo.
+//! The demo's test cluster and its schedule of messages.
 
 use cloverstile_as2::NewKey;
 use cloverstile_as2_gateway::test_cluster::{ClassSpec, ClusterSpec, PartnerSpec};
@@ -8,14 +8,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Names of the partners: banks first, then employers.
+/// Names of the partners; the first [`BANKS`] are banks and the others employers.
 const PARTNERS: [&str; 4] = ["bank-north", "bank-south", "bayside-hr", "rosehall-hr"];
-/// Number of banks, which get payments; the other partners get notices.
+/// Number of banks, which receive payments; the employers receive notices.
 const BANKS: usize = 2;
-/// Cumulative shares of the messages for all partners but the last.
+/// Cumulative shares of the messages, for all partners but the last: the shares in [`cluster_spec`] summed up.
 const SHARE_BOUNDS: [f64; 3] = [0.4, 0.7, 0.9];
 
-/// The test cluster of the demo: `rate` is in messages per second.
+/// The demo's test cluster. `rate` is in messages per second and sizes the partners.
 pub fn cluster_spec(gateways: usize, rate: u32) -> ClusterSpec {
     let class = |name: &str, effect: &str, ordered, priority_weight| ClassSpec {
         name: name.into(),
@@ -61,16 +61,16 @@
     }
 }
 
-/// Messages at even distances over `span`, from `start` on.
-pub fn plan_messages(messages: u32, span: Duration, seed: u64, start: Duration) -> Vec<PlannedMessage> {
+/// Messages evenly spaced over `duration` from `start` on, to partners drawn at random with `seed`.
+pub fn plan_messages(messages: u32, duration: Duration, seed: u64, start: Duration) -> Vec<PlannedMessage> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     (0..messages)
         .map(|number| {
-            let drawn: f64 = rng.random();
-            let partner = SHARE_BOUNDS.iter().filter(|bound| drawn >= **bound).count();
+            let sample: f64 = rng.random();
+            let partner = SHARE_BOUNDS.iter().filter(|bound| sample >= **bound).count();
             let is_payment = partner < BANKS;
             PlannedMessage {
-                at: start + span.mul_f64(f64::from(number) / f64::from(messages)),
+                at: start + duration.mul_f64(f64::from(number) / f64::from(messages)),
                 id: format!("demo-{seed}-{number}@client-0"),
                 class: if is_payment { "salary-payment" } else { "pay-notice" }.into(),
                 partner: PARTNERS[partner].into(),
--- a/crates/cli/src/exit_status.rs
+++ b/crates/cli/src/exit_status.rs
@@ -1,4 +1,4 @@
-//! Exit statuses of the command line.
+//! Exit statuses of the program, which scripts and service managers rely on.
 
 use std::process::ExitCode;
 
@@ -6,17 +6,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Success.
+    /// The subcommand did what it was asked to; for `send`, the message was delivered.
     Success = 0,
-    /// Failure; standard error has the reason.
+    /// The subcommand failed; standard error has the reason.
     Failure = 1,
-    /// Invalid command line.
+    /// The command line or the log filter is invalid.
     Usage = 2,
-    /// Settings or keys can't be used.
+    /// The settings, the environment, keys or certificates can't be used.
     Settings = 3,
-    /// `as2-gateway`: stopped with messages that have no final outcome.
+    /// `as2-gateway`: it shut down with messages that have no final outcome.
     Unanswered = 4,
-    /// `plan`: the capacity does not suffice after the loss of a zone.
+    /// `plan`: the capacity does not suffice in at least one of the planned scenarios.
     CapacityExceeded = 5,
     /// `send`: refused; it had no effect, and a retry is safe.
     Refused = 10,
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `cloverstile keys`: makes a key and a certificate for an AS2 station.
+//! `cloverstile keys`: generates a private key and a self-signed certificate for an AS2 station.
 
 use crate::exit_status::ExitStatus;
 use clap::{Args, ValueEnum};
@@ -36,9 +36,9 @@
 }
 
 impl Keys {
-    /// Writes both files; existing ones are never overwritten.
+    /// Generates the key and the certificate and writes both files. An existing file is an error and is kept.
     pub fn run(&self) -> ExitStatus {
-        match self.make() {
+        match self.generate() {
             Ok(subject) => {
                 println!("{}: {subject}", self.path("key").display());
                 println!("{}: for your partners", self.path("crt").display());
@@ -51,11 +51,13 @@
         }
     }
 
+    /// Path of the output file with an extension.
     fn path(&self, extension: &str) -> PathBuf {
         self.out.join(format!("{}.{extension}", self.name))
     }
 
-    fn make(&self) -> Result<String, String> {
+    /// Writes both files and returns the subject of the certificate.
+    fn generate(&self) -> Result<String, String> {
         let key = match self.kind {
             Kind::Rsa2048 => NewKey::Rsa2048,
             Kind::Rsa3072 => NewKey::Rsa3072,
@@ -65,7 +67,7 @@
         let today =
             SystemTime::now().duration_since(UNIX_EPOCH).map_err(|error| error.to_string())?.as_secs()
                 / SECONDS_PER_DAY;
-        let (from, to) = (date(today), date(today + self.days));
+        let (from, to) = (date_from_days(today), date_from_days(today + self.days));
         let (key, certificate) = generate_identity(&self.name, key, from.to_tuple(), to.to_tuple())
             .map_err(|error| error.to_string())?;
         write_new(&self.path("key"), 0o600, &key)?;
@@ -74,13 +76,15 @@
     }
 }
 
+/// Creates a file with the permissions `mode`; fails if it exists.
 fn write_new(path: &Path, mode: u32, text: &str) -> Result<(), String> {
-    let describe = |error: io::Error| format!("{}: {error}", path.display());
-    let mut file = OpenOptions::new().write(true).create_new(true).mode(mode).open(path).map_err(describe)?;
-    file.write_all(text.as_bytes()).map_err(describe)
+    let with_path = |error: io::Error| format!("{}: {error}", path.display());
+    let mut file =
+        OpenOptions::new().write(true).create_new(true).mode(mode).open(path).map_err(with_path)?;
+    file.write_all(text.as_bytes()).map_err(with_path)
 }
 
-/// A date in the Gregorian calendar; month and day count from 1.
+/// A date of the Gregorian calendar; month and day count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Date {
     year: i32,
@@ -95,18 +99,19 @@
     }
 }
 
-/// The date of a day counted from 1970-01-01.
-fn date(days_since_epoch: u64) -> Date {
-    let leap = |year: u64| year.is_multiple_of(4) && (!year.is_multiple_of(100) || year.is_multiple_of(400));
+/// Converts days since 1970-01-01 to a date in UTC.
+fn date_from_days(days_since_epoch: u64) -> Date {
+    let is_leap =
+        |year: u64| year.is_multiple_of(4) && (!year.is_multiple_of(100) || year.is_multiple_of(400));
     let (mut year, mut remaining) = (1970, days_since_epoch);
-    while remaining >= 365 + u64::from(leap(year)) {
-        remaining -= 365 + u64::from(leap(year));
+    while remaining >= 365 + u64::from(is_leap(year)) {
+        remaining -= 365 + u64::from(is_leap(year));
         year += 1;
     }
-    let months = [31, 28 + u64::from(leap(year)), 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
+    let month_lengths = [31, 28 + u64::from(is_leap(year)), 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
     let mut month = 0;
-    while remaining >= months[month] {
-        remaining -= months[month];
+    while remaining >= month_lengths[month] {
+        remaining -= month_lengths[month];
         month += 1;
     }
     Date { year: year as i32, month: month as u8 + 1, day: remaining as u8 + 1 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The command line `cloverstile`: runs gateways, sends messages, makes keys, plans capacity.
+//! The program `cloverstile`: runs gateways, checks settings, plans capacity, generates keys, sends messages and runs a
+//! demo.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -72,7 +73,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    if let Err(error) = start_logs(&arguments) {
+    if let Err(error) = init_logging(&arguments) {
         eprintln!("cloverstile: --log: {error}");
         return ExitStatus::Usage.into();
     }
@@ -88,12 +89,13 @@
     status.into()
 }
 
-fn start_logs(arguments: &Arguments) -> Result<(), String> {
+/// Sends logs to standard error; fails if the filter of `--log` is invalid.
+fn init_logging(arguments: &Arguments) -> Result<(), String> {
     let filter = tracing_subscriber::EnvFilter::try_new(&arguments.log).map_err(|error| error.to_string())?;
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     match arguments.log_format {
-        LogFormat::Text => logs.with_ansi(std::io::stderr().is_terminal()).init(),
-        LogFormat::Json => logs.json().init(),
+        LogFormat::Text => subscriber.with_ansi(std::io::stderr().is_terminal()).init(),
+        LogFormat::Json => subscriber.json().init(),
     }
     Ok(())
 }
--- a/crates/cli/src/send.rs
+++ b/crates/cli/src/send.rs
@@ -1,4 +1,4 @@
-//! `cloverstile send`: submits one message and prints the verified receipt.
+//! `cloverstile send`: submits one message to a gateway over AS2 and prints the verified receipt.
 
 use crate::exit_status::ExitStatus;
 use clap::Args;
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Bytes read from the connection at once.
+/// Maximum number of bytes per read from the connection.
 const READ_BUFFER_SIZE: usize = 16 << 10;
 
 /// Arguments of `send`.
@@ -70,39 +70,40 @@
     json: bool,
 }
 
-/// What the gateway's response says of the message.
+/// The outcome that the gateway's response states.
 struct SendResult {
     exit: ExitStatus,
     /// HTTP status of the response.
     http_status: u16,
-    /// None where the message was not admitted.
+    /// The verified receipt; none where the message was not admitted.
     receipt: Option<Receipt>,
 }
 
-/// Why no outcome is known.
+/// Why there is no outcome: the message could not be sent, or no valid receipt came back.
 struct SendError {
     exit: ExitStatus,
     reason: String,
 }
 
 impl SendError {
+    /// A key, certificate, URL or message can't be used; nothing was sent.
     fn settings(reason: String) -> Self {
         SendError { exit: ExitStatus::Settings, reason }
     }
 
-    /// Nothing was sent.
-    fn failure(what: &str, error: &io::Error) -> Self {
-        SendError { exit: ExitStatus::Failure, reason: format!("{what}: {error}") }
+    /// An I/O error before anything was sent. `operation` is the failed operation or the file concerned.
+    fn failure(operation: &str, error: &io::Error) -> Self {
+        SendError { exit: ExitStatus::Failure, reason: format!("{operation}: {error}") }
     }
 
-    /// The message may have been sent.
+    /// The message may have been sent, so it may also have taken effect.
     fn unknown(reason: String) -> Self {
         SendError { exit: ExitStatus::Unknown, reason }
     }
 }
 
 impl Send {
-    /// Submits the message, waits for the response and prints it; the exit status has the outcome.
+    /// Submits the message, waits for the response and prints the outcome, which is also the exit status.
     pub fn run(&self) -> ExitStatus {
         let id = self.id.clone().unwrap_or_else(|| format!("{:032x}@{}", rand::random::<u128>(), self.from));
         match self.exchange(&id) {
@@ -120,8 +121,9 @@
         }
     }
 
+    /// Prints the outcome and the receipt.
     fn print(&self, id: &str, result: &SendResult) {
-        let answer = match result.exit {
+        let outcome = match result.exit {
             ExitStatus::Success => "delivered",
             ExitStatus::Refused => "refused: it had no effect, and a retry is safe",
             ExitStatus::MayHaveTakenEffect => "failed: it may have taken effect",
@@ -132,21 +134,21 @@
         let disposition = receipt.map(|receipt| format!("{:?}", receipt.disposition));
         let mic = receipt.and_then(|receipt| receipt.mic.as_ref().map(Mic::to_header_value));
         if self.json {
-            let answer = answer.split(':').next();
+            let outcome = outcome.split(':').next();
             let summary = serde_json::json!({
-                "id": id, "answer": answer, "status": result.http_status, "disposition": disposition, "mic": mic,
+                "id": id, "answer": outcome, "status": result.http_status, "disposition": disposition, "mic": mic,
             });
             println!("{summary}");
             return;
         }
-        println!("{id}: {answer}");
+        println!("{id}: {outcome}");
         if let Some(disposition) = disposition {
             let mic = mic.unwrap_or_else(|| "none".into());
             println!("receipt verified: {disposition}, integrity check {mic}");
         }
     }
 
-    /// Sends the message and verifies the receipt in the response.
+    /// Composes and sends the message, and interprets the response.
     fn exchange(&self, id: &str) -> Result<SendResult, SendError> {
         let identity = load_identity(&self.from, &self.key, &self.certificate)
             .map_err(|error| SendError::settings(error.to_string()))?;
@@ -175,6 +177,7 @@
         Certificate::from_pem(&pem).map_err(|error| SendError::settings(error.to_string()))
     }
 
+    /// The content, from the file or from standard input.
     fn read_content(&self) -> Result<Vec<u8>, SendError> {
         if self.file.as_os_str() != "-" {
             let name = self.file.display().to_string();
@@ -187,6 +190,7 @@
         Ok(content)
     }
 
+    /// Headers of the payload, which the signature covers: the content type and how the gateway is to deliver it.
     fn payload_headers(&self) -> Headers {
         let mut headers = Headers::new().with("Content-Type", self.content_type.as_str());
         headers.add("Cloverstile-Partner", self.partner.as_str());
@@ -202,7 +206,8 @@
         headers
     }
 
-    /// Sends the request and reads the response.
+    /// Posts the request on a new connection and reads the response. From the first byte written on, an error leaves the
+    /// outcome unknown.
     fn post(
         &self,
         address: SocketAddr,
@@ -218,6 +223,7 @@
         self.read_response(&mut stream).map_err(SendError::unknown)
     }
 
+    /// Reads one response, until the time to wait has passed or the connection ends.
     fn read_response(&self, stream: &mut TcpStream) -> Result<Message, String> {
         let started_at = Instant::now();
         let mut decoder = Decoder::client(Limits { message_timeout: Duration::MAX, ..Limits::default() });
@@ -230,8 +236,8 @@
             stream.set_read_timeout(Some(remaining)).map_err(|error| error.to_string())?;
             let count = stream.read(&mut buffer).map_err(|error| error.to_string())?;
             if count == 0 {
-                let last = decoder.on_connection_end().map_err(|error| error.to_string())?;
-                return last.ok_or_else(|| "the connection ended before an answer came".to_owned());
+                let response = decoder.on_connection_end().map_err(|error| error.to_string())?;
+                return response.ok_or_else(|| "the connection ended before an answer came".to_owned());
             }
             let now = started_at.elapsed();
             decoder.feed(now, &buffer[..count]);
@@ -244,7 +250,8 @@
     }
 }
 
-/// The outcome that a response carries; its receipt must be valid and for this message.
+/// The outcome that a response states. Unless the message was not admitted, the receipt must be signed by the gateway
+/// and match the message's id and MIC.
 fn interpret(
     response: &Message,
     id: &str,
@@ -274,7 +281,7 @@
     Ok(SendResult { exit, http_status, receipt: Some(receipt) })
 }
 
-/// Why a message was rejected, for people.
+/// Reason of a rejection for standard error, from the receipt or else from the body of the response.
 fn rejection_reason(response: &Message, gateway: &Certificate) -> String {
     match read_receipt(&response.headers, &response.body, gateway) {
         Ok(receipt) => format!("rejected, by a receipt that verifies: {:?}", receipt.disposition),
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,62 +1,62 @@
-//! The blocks of the gateway itself: identity, limits, zones and the listener.
+//! Reads the settings of the gateway itself: identity, limits, zones and the listener.
 
 use crate::read::Block;
 use crate::types::{IdentityFiles, Limits, Listener};
 use cloverstile::WeightSource;
 use std::time::Duration;
 
-/// Bytes by unit, for sizes such as `"4MiB"`.
-const SIZES: [(&str, u64); 3] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
+/// Bytes of each unit suffix, for sizes such as `"4MiB"`.
+const SIZE_UNITS: [(&str, u64); 3] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
-/// Names of the zones; without a list, the gateway's own zone alone.
+/// Names of the zones; without a list, only the gateway's own zone, which is `here` unless it has a name.
 pub(crate) fn read_zones(root: &Block, gateway_block: &Block) -> Vec<String> {
-    let zones = root.words("zones");
+    let zones = root.string_list("zones");
     if zones.is_empty() {
-        return vec![gateway_block.text("zone").unwrap_or_else(|| "here".to_owned())];
+        return vec![gateway_block.string("zone").unwrap_or_else(|| "here".to_owned())];
     }
     zones
 }
 
-/// Requests a second into each zone; none: unlimited.
+/// Limit of requests per second into each zone, in the order of `zones`; none: unlimited.
 pub(crate) fn read_zone_rates(root: &Block, zones: &[String]) -> Vec<Option<f64>> {
     let mut rates = vec![None; zones.len()];
-    for (name, block) in root.labelled("zone") {
+    for (name, block) in root.labelled_blocks("zone") {
         let rate = block.number("rate", 0.0, 1e9, f64::INFINITY);
         if let Some(zone) = block.index_of("zone", &name, zones) {
             rates[zone] = rate.is_finite().then_some(rate);
         }
-        block.finish();
+        block.report_unknown();
     }
     rates
 }
 
-/// The gateway's own identity.
+/// The gateway's AS2 identity; none if a required field is missing.
 pub(crate) fn read_identity(gateway_block: &Block) -> Option<IdentityFiles> {
-    let name = gateway_block.required("name");
-    let key = gateway_block.required("key");
-    let certificate = gateway_block.required("certificate");
+    let name = gateway_block.required_string("name");
+    let key = gateway_block.required_string("key");
+    let certificate = gateway_block.required_string("certificate");
     let instances: u32 = gateway_block.number("couriers", 1, 100_000, 1);
-    let place = gateway_block.number("place", 0, i64::from(instances) - 1, -1);
+    let instance_index = gateway_block.number("place", 0, i64::from(instances) - 1, -1);
     Some(IdentityFiles {
         name: name?,
         key: key?.into(),
         certificate: certificate?.into(),
-        instance_index: u32::try_from(place).ok(),
+        instance_index: u32::try_from(instance_index).ok(),
     })
 }
 
-/// Limits of the gateway around the delivery policy.
+/// Limits that the gateway enforces outside the delivery policy.
 pub(crate) fn read_limits(gateway_block: &Block) -> Limits {
     Limits {
-        shutdown_timeout: gateway_block.span("stop_within", Duration::from_secs(10)),
+        shutdown_timeout: gateway_block.duration("stop_within", Duration::from_secs(10)),
         max_kept_outcomes: gateway_block.number("remembered", 1, 10_000_000, 100_000),
-        outcome_retention: gateway_block.span("answers_kept", Duration::from_secs(300)),
+        outcome_retention: gateway_block.duration("answers_kept", Duration::from_secs(300)),
         max_idle_connections: gateway_block.number("idle_connections", 1, 100_000, 1_000),
         crypto_threads: gateway_block.number("workers", 0, 64, 0),
     }
 }
 
-/// How reliable the partners' rates are.
+/// Whether the partners' rates are exact, approximate or not used at all.
 pub(crate) fn read_weight_source(gateway_block: &Block) -> WeightSource {
     gateway_block.choice(
         "rates",
@@ -69,18 +69,18 @@
     )
 }
 
-/// Where AS2 messages come in.
+/// The listener for AS2 messages; none if its block or address is missing or invalid.
 pub(crate) fn read_listener(root: &Block) -> Option<Listener> {
-    let block = root.only("front")?;
+    let block = root.single_block("front")?;
     let listener = Listener {
         address: block.address("listen"),
-        path: block.text("path").unwrap_or_else(|| "/as2".to_owned()),
+        path: block.string("path").unwrap_or_else(|| "/as2".to_owned()),
         max_connections: block.number("connections", 1, 100_000, 1_000),
-        max_body_bytes: block.size("body", &SIZES, 4 << 20),
-        max_head_bytes: block.size("head", &SIZES, 32 << 10),
-        head_timeout: block.span("head_time", Duration::from_secs(10)),
-        message_timeout: block.span("message_time", Duration::from_secs(60)),
+        max_body_bytes: block.size("body", &SIZE_UNITS, 4 << 20),
+        max_head_bytes: block.size("head", &SIZE_UNITS, 32 << 10),
+        head_timeout: block.duration("head_time", Duration::from_secs(10)),
+        message_timeout: block.duration("message_time", Duration::from_secs(60)),
     };
-    block.finish();
+    block.report_unknown();
     listener.address.map(|address| Listener { address: Some(address), ..listener })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings of an AS2 gateway, parsed from HCL and checked completely before anything starts.
 //!
-//! All problems of a file are reported together, each with file, line, field, what is allowed and what to do. The
-//! settings of the delivery policy ([`cloverstile::Settings`]) are part of the result. Keys and certificates are named
-//! by path; reading them is for the caller, as this package does no I/O.
+//! All problems of a file are reported together, each with file, line, field and advice. The settings of the delivery
+//! policy ([`cloverstile::Settings`]) are part of the result. Keys and certificates are given as paths, and the caller
+//! reads them: this crate does no I/O.
 #![forbid(unsafe_code)]
 
 mod client;
@@ -19,11 +19,11 @@
 
 use read::{Block, Source};
 
-/// Parses and checks a file's text. `file` is its name in messages.
+/// Parses and validates the text of a settings file. `file` is its name in problems.
 ///
 /// # Errors
 ///
-/// Every problem found, in the order of lines.
+/// All problems found, ordered by line. A syntax error is reported alone.
 pub fn parse(file: &str, text: &str) -> Result<Config, Problems> {
     let source = Source::new(file, text);
     let body = match hcl_edit::parser::parse_body(text) {
@@ -40,17 +40,18 @@
     };
     let root = Block::root(&source, &body);
     let config = read_config(&root);
-    root.finish();
+    root.report_unknown();
     match config {
-        Some(config) if source.is_clean() => Ok(config),
+        Some(config) if source.has_no_problems() => Ok(config),
         _ => Err(source.into_problems()),
     }
 }
 
+/// Reads all blocks; none where a required field is missing, in which case a problem was reported.
 fn read_config(root: &Block) -> Option<Config> {
-    let gateway_block = root.only("courier")?;
+    let gateway_block = root.single_block("courier")?;
     let zones = gateway::read_zones(root, &gateway_block);
-    let kinds = root.labelled("kind");
+    let kinds = root.labelled_blocks("kind");
     let classes = policy::read_classes(root);
     let tenants = policy::read_tenants(root);
     let kind_names = names(&kinds);
@@ -60,7 +61,7 @@
     let rates = gateway::read_weight_source(&gateway_block);
     let policy = policy::read_policy(root, &gateway_block, &zones, &classes, &tenants, policy_kinds, rates);
     let limits = gateway::read_limits(&gateway_block);
-    gateway_block.finish();
+    gateway_block.report_unknown();
     let listener = gateway::read_listener(root);
     let zone_rates = gateway::read_zone_rates(root, &zones);
     let clients = client::read_clients(root, &tenant_names);
@@ -80,6 +81,7 @@
     })
 }
 
-fn names<T>(labelled: &[(String, T)]) -> Vec<String> {
-    labelled.iter().map(|(name, _)| name.clone()).collect()
+/// The labels of blocks, in the order of the file.
+fn names<T>(blocks: &[(String, T)]) -> Vec<String> {
+    blocks.iter().map(|(name, _)| name.clone()).collect()
 }
--- a/crates/settings/src/partner.rs
+++ b/crates/settings/src/partner.rs
@@ -1,11 +1,12 @@
-//! The blocks of partners.
+//! Reads the `partner` blocks.
 
 use crate::read::Block;
 use crate::types::{Cipher, Digest, Endpoint, Partner, ReceiptMode, Tier};
 use cloverstile::{EndpointState, WeightSource};
 use std::time::Duration;
 
-/// All partners.
+/// The valid partners; problems of the others are reported to the source. `kinds` and `zones` have all defined names,
+/// and `rates` tells whether a partner's rate is required.
 pub(crate) fn read_partners(
     root: &Block,
     kinds: &[String],
@@ -14,13 +15,13 @@
 ) -> Vec<Partner> {
     let read = |(name, block): (String, Block)| {
         let partner = read_partner(&block, name, kinds, zones, rates);
-        block.finish();
+        block.report_unknown();
         partner
     };
-    root.labelled("partner").into_iter().filter_map(read).collect()
+    root.labelled_blocks("partner").into_iter().filter_map(read).collect()
 }
 
-/// One partner; none if a required field is missing or wrong.
+/// One partner; none if its certificate is missing or its kind is not defined.
 fn read_partner(
     block: &Block,
     name: String,
@@ -28,8 +29,8 @@
     zones: &[String],
     rates: WeightSource,
 ) -> Option<Partner> {
-    let certificate = block.required("certificate");
-    let kind = match block.text("kind") {
+    let certificate = block.required_string("certificate");
+    let kind = match block.string("kind") {
         Some(kind) => block.index_of("kind", &kind, kinds),
         None => Some(0),
     };
@@ -37,7 +38,7 @@
     if rates != WeightSource::Ignored && rate == 0.0 {
         let advice =
             "set the calls a second that it takes from all couriers, or rates = \"none\" for the courier";
-        block.problem_at("rate", "is missing", advice);
+        block.report_attribute("rate", "is missing", advice);
     }
     let peak_demand = block.number("wanted", 0.0, 1e9, f64::INFINITY);
     let priority_weight = block.number("worth", 0.0, 1e9, 1.0);
@@ -46,8 +47,8 @@
     let tiers = read_tiers(block, zones, rate, &endpoints);
     let spill_share = block.number("spill_share", 0.0, 1.0, 0.0);
     let spill_rate = block.number("spill_rate", 0.0, 1e9, f64::INFINITY);
-    let as2_name = block.text("as2_name").unwrap_or_else(|| name.clone());
-    let compress = block.flag("compress", false);
+    let as2_name = block.string("as2_name").unwrap_or_else(|| name.clone());
+    let compress = block.boolean("compress", false);
     Some(Partner {
         as2_name,
         certificate: certificate?.into(),
@@ -63,14 +64,14 @@
         tiers,
         spill_share,
         spill_rate: spill_rate.is_finite().then_some(spill_rate),
-        lost_after: block.span("lost_after", Duration::from_secs(1)),
-        recovery_ramp: block.span("ramp", Duration::from_secs(30)),
+        lost_after: block.duration("lost_after", Duration::from_secs(1)),
+        recovery_ramp: block.duration("ramp", Duration::from_secs(30)),
         endpoints,
         name,
     })
 }
 
-/// Protection of the messages to a partner, and the receipt asked for.
+/// Cryptographic protection of the messages to a partner, and the receipt requested from it.
 struct PartnerSecurity {
     signature_digest: Option<Digest>,
     content_cipher: Option<Cipher>,
@@ -122,26 +123,26 @@
     PartnerSecurity { signature_digest, content_cipher, receipt_mode, mic_digest }
 }
 
-/// The endpoints of a partner; at least one is required.
+/// The valid endpoints of a partner; having none is a problem.
 fn read_endpoints(block: &Block, zones: &[String]) -> Vec<Endpoint> {
     let endpoints: Vec<Endpoint> = block
-        .labelled("endpoint")
+        .labelled_blocks("endpoint")
         .into_iter()
         .filter_map(|(name, inner)| {
-            let zone = inner.text("zone").map_or(Some(0), |zone| inner.index_of("zone", &zone, zones));
+            let zone = inner.string("zone").map_or(Some(0), |zone| inner.index_of("zone", &zone, zones));
             let state = inner.choice(
                 "mode",
                 &[("ready", EndpointState::Ready), ("draining", EndpointState::Draining)],
                 EndpointState::Ready,
             );
             let address = inner.address("address");
-            let path = inner.text("path").unwrap_or_else(|| "/as2".to_owned());
-            inner.finish();
+            let path = inner.string("path").unwrap_or_else(|| "/as2".to_owned());
+            inner.report_unknown();
             Some(Endpoint { name, address: address?, path, zone: zone? as u8, state })
         })
         .collect();
     if endpoints.is_empty() {
-        block.problem_at(
+        block.report_attribute(
             "endpoint",
             "is missing",
             "add a block such as endpoint \"a\" { address = \"...\" }",
@@ -150,21 +151,22 @@
     endpoints
 }
 
-/// The tiers of a partner, the preferred one first; if there are any, they cover all zones of its endpoints.
+/// The failover tiers of a partner, the preferred one first. If there are any, each zone of its endpoints needs one.
+/// A tier without a rate has `rate`, that of the partner.
 fn read_tiers(block: &Block, zones: &[String], rate: f64, endpoints: &[Endpoint]) -> Vec<Tier> {
     let tiers: Vec<Tier> = block
-        .labelled("tier")
+        .labelled_blocks("tier")
         .into_iter()
         .filter_map(|(zone, inner)| {
             let rate = inner.number("rate", 0.001, 1e9, rate);
-            inner.finish();
+            inner.report_unknown();
             Some(Tier { zone: inner.index_of("zone", &zone, zones)? as u8, rate })
         })
         .collect();
-    let outside = |endpoint: &&Endpoint| !tiers.iter().any(|tier| tier.zone == endpoint.zone);
-    if let Some(endpoint) = endpoints.iter().find(outside).filter(|_| !tiers.is_empty()) {
+    let has_no_tier = |endpoint: &&Endpoint| !tiers.iter().any(|tier| tier.zone == endpoint.zone);
+    if let Some(endpoint) = endpoints.iter().find(has_no_tier).filter(|_| !tiers.is_empty()) {
         let description = format!("leaves out the zone of endpoint \"{}\"", endpoint.name);
-        block.problem_at("tier", &description, "add a block such as tier \"zone\" { rate = 20 }");
+        block.report_attribute("tier", &description, "add a block such as tier \"zone\" { rate = 20 }");
     }
     tiers
 }
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -1,10 +1,10 @@
-//! Typed settings.
+//! The typed settings that [`parse`](crate::parse) returns.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All settings of a file.
+/// The validated settings of a file.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The gateway's own AS2 identity.
@@ -19,11 +19,12 @@
     pub kinds: Vec<String>,
     /// Names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// Requests a second into each zone, for all partners together; none: unlimited. For `cloverstile plan`.
+    /// Limit of requests per second into each zone, for all partners together, in the order of `zones`; none: unlimited.
+    /// Only `cloverstile plan` uses it.
     pub zone_rates: Vec<Option<f64>>,
-    /// Where messages come in.
+    /// Where clients submit messages and partners post deferred receipts.
     pub listener: Listener,
-    /// Limits of the gateway around the delivery policy.
+    /// Limits that the gateway enforces outside the delivery policy.
     pub limits: Limits,
     /// Clients that may submit messages.
     pub clients: Vec<Client>,
@@ -31,61 +32,61 @@
     pub partners: Vec<Partner>,
 }
 
-/// The AS2 identity of the gateway.
+/// The AS2 identity of the gateway, with its key and certificate as paths.
 #[derive(Clone, Debug)]
 pub struct IdentityFiles {
-    /// AS2 name.
+    /// AS2 name, sent as AS2-From.
     pub name: String,
-    /// Path of the private key (PKCS#8 in PEM), readable by its owner alone.
+    /// Path of the private key (PKCS#8 in PEM), readable by its owner only.
     pub key: PathBuf,
-    /// PEM file.
+    /// Path of the certificate in PEM.
     pub certificate: PathBuf,
-    /// Index among all gateway instances, from 0, unique. None: drawn at random at each start.
+    /// Index of this gateway instance, from 0 and unique among all of them; none: drawn at random at each start.
     pub instance_index: Option<u32>,
 }
 
-/// Limits of the gateway around the delivery policy.
+/// Limits that the gateway enforces outside the delivery policy.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Longest time from the signal to stop until the exit.
+    /// Longest time from the shutdown signal until the process exits.
     pub shutdown_timeout: Duration,
-    /// Most final outcomes kept for resubmissions.
+    /// Maximum number of final outcomes kept to answer resubmissions.
     pub max_kept_outcomes: usize,
-    /// How long they are kept.
+    /// Time for which a final outcome is kept.
     pub outcome_retention: Duration,
-    /// Most idle outbound connections kept.
+    /// Maximum number of idle outbound connections kept open.
     pub max_idle_connections: usize,
-    /// Threads for cryptography; 0: it runs on the event loop.
+    /// Number of threads for cryptography; 0: it runs on the event loop.
     pub crypto_threads: usize,
 }
 
-/// Where AS2 messages come in.
+/// The HTTP listener for AS2 messages and deferred receipts.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// Address to listen on; always present in checked settings.
+    /// Address to listen on; always present in validated settings.
     pub address: Option<SocketAddr>,
     /// Path for messages; deferred receipts come to this path followed by `/receipts`.
     pub path: String,
-    /// Most connections at once.
+    /// Maximum number of simultaneous connections.
     pub max_connections: usize,
-    /// Most bytes of a message's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Most bytes of a message's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest time for a message's head to arrive.
+    /// Longest time for a request's head to arrive.
     pub head_timeout: Duration,
-    /// Longest time for a whole message to arrive.
+    /// Longest time for a whole request to arrive.
     pub message_timeout: Duration,
 }
 
-/// A program that submits messages.
+/// A program that submits messages to the gateway over AS2.
 #[derive(Clone, Debug)]
 pub struct Client {
     /// Name in the settings.
     pub name: String,
-    /// AS2 name.
+    /// AS2 name; the name in the settings unless given.
     pub as2_name: String,
-    /// PEM file.
+    /// Path of the certificate in PEM.
     pub certificate: PathBuf,
     /// Index in [`Config::tenants`].
     pub tenant: u32,
@@ -95,11 +96,11 @@
     pub requires_encryption: bool,
     /// Whether signatures with SHA-1 are accepted.
     pub accepts_sha1: bool,
-    /// Prefix of allowed URLs for deferred receipts; none: no URL is allowed.
+    /// Prefix that the URL for a deferred receipt must have; none: deferred receipts are not allowed.
     pub receipt_url_prefix: Option<String>,
 }
 
-/// Digest algorithms.
+/// Digest algorithms for signatures and integrity checks (MICs).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Digest {
     /// SHA-1.
@@ -112,7 +113,7 @@
     Sha512,
 }
 
-/// Content ciphers.
+/// Ciphers for encrypted content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cipher {
     /// AES-128 in CBC.
@@ -125,75 +126,75 @@
     Aes256Gcm,
 }
 
-/// The receipt that a partner is asked for.
+/// The kind of receipt that a partner is asked for, and how it is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiptMode {
     /// Signed, in the HTTP response.
     Signed,
     /// Not signed, in the HTTP response.
     Unsigned,
-    /// Signed, deferred to a connection of its own.
+    /// Signed, and posted by the partner on a separate connection.
     Async,
 }
 
-/// A partner's system.
+/// A partner that receives messages, with its rates, security and endpoints.
 #[derive(Clone, Debug)]
 pub struct Partner {
-    /// Name in the settings, which submissions use.
+    /// Name in the settings; submissions address the partner by it.
     pub name: String,
-    /// AS2 name.
+    /// AS2 name; the name in the settings unless given.
     pub as2_name: String,
-    /// PEM file.
+    /// Path of the certificate in PEM.
     pub certificate: PathBuf,
     /// Index in [`Config::kinds`].
     pub kind: u16,
-    /// Requests a second that it accepts from all gateways together; 0 where rates are unknown.
+    /// Requests per second that it accepts from all gateways together; 0 where rates are unknown.
     pub rate: f64,
-    /// Messages a second for it at peak time, from all gateways; none: unknown. For `cloverstile plan`.
+    /// Peak demand in messages per second, from all gateways together; none: unknown. Only `cloverstile plan` uses it.
     pub peak_demand: Option<f64>,
-    /// Priority weight of one of them against those for other partners.
+    /// Priority weight of a message for this partner, relative to messages for other partners.
     pub priority_weight: f64,
-    /// Digest of signatures; none: not signed.
+    /// Digest for signing messages; none: they are not signed.
     pub signature_digest: Option<Digest>,
-    /// Content cipher; none: not encrypted.
+    /// Cipher for messages; none: they are not encrypted.
     pub content_cipher: Option<Cipher>,
-    /// Whether to compress before signing.
+    /// Whether messages are compressed before they are signed.
     pub compress: bool,
-    /// The requested receipt.
+    /// The kind of receipt requested.
     pub receipt_mode: ReceiptMode,
-    /// Digest requested in receipts; none: that of the signature.
+    /// Digest requested for the MIC in receipts; none: that of the signature, or SHA-256 without a signature.
     pub mic_digest: Option<Digest>,
-    /// Its failover tiers, the preferred one first; empty: all its endpoints are equal.
+    /// Failover tiers, the preferred one first; empty: no failover, all endpoints are equal.
     pub tiers: Vec<Tier>,
     /// Share of the messages for a lost tier that may spill over to the next one, from 0 to 1.
     pub spill_share: f64,
-    /// Messages a second, from all gateways together, that may spill over; none: limited by the share alone.
+    /// Messages per second, from all gateways together, that may spill over; none: only the share limits them.
     pub spill_rate: Option<f64>,
     /// Time without a response after which a tier counts as lost.
     pub lost_after: Duration,
-    /// Recovery ramp: time from a lost tier's first response until nothing spills over any more.
+    /// Recovery ramp: time from a lost tier's first response until no message spills over any more.
     pub recovery_ramp: Duration,
-    /// Its endpoints.
+    /// Endpoints in all zones; never empty in validated settings.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A site that a partner serves from.
+/// A failover tier: the site of a partner in one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tier {
     /// Index in [`Config::zones`].
     pub zone: u8,
-    /// Requests a second that it accepts from all gateways together; 0 where rates are unknown.
+    /// Requests per second that the site accepts from all gateways together; 0 where rates are unknown.
     pub rate: f64,
 }
 
-/// One address of a partner.
+/// One server of a partner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// Name, unique within the partner.
     pub name: String,
-    /// Where it listens.
+    /// Address and port to connect to.
     pub address: SocketAddr,
-    /// Path of its AS2 service.
+    /// Path of its AS2 service in request URLs.
     pub path: String,
     /// Index in [`Config::zones`].
     pub zone: u8,
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -1,11 +1,11 @@
-//! Whole files, good and bad.
+//! Parsing of valid and invalid settings files, through the public API.
 
 use cloverstile_settings::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID_FILE: &str = r#"
 zones = ["kingston", "mobay"]
 
 courier {
@@ -64,8 +64,8 @@
 "#;
 
 #[test]
-fn valid_file_reaches_the_policy_settings_unchanged() {
-    let config = parse("c.hcl", GOOD).unwrap_or_else(|problems| panic!("{problems}"));
+fn parse_keeps_the_values_of_a_valid_file() {
+    let config = parse("c.hcl", VALID_FILE).unwrap_or_else(|problems| panic!("{problems}"));
     assert_eq!(
         (config.policy.instance_count, config.policy.concurrency_limit, config.policy.zone.0),
         (3, 24, 1)
@@ -85,15 +85,15 @@
     );
 }
 
-/// The problems of the good file with one line replaced.
-fn problems(from: &str, to: &str) -> Vec<Problem> {
-    assert!(GOOD.contains(from));
-    parse("c.hcl", &GOOD.replacen(from, to, 1)).expect_err(to).0
+/// The problems of the valid file with the first occurrence of `from` replaced.
+fn problems_after_replacing(from: &str, to: &str) -> Vec<Problem> {
+    assert!(VALID_FILE.contains(from));
+    parse("c.hcl", &VALID_FILE.replacen(from, to, 1)).expect_err(to).0
 }
 
 #[test]
-fn each_problem_has_file_line_field_and_allowed_values() {
-    // Original text, replacement, text at the line of the problem, its field, part of its advice.
+fn parse_reports_file_line_field_and_advice_of_each_problem() {
+    // Original text, its replacement, text on the line of the problem, field, part of the advice.
     for (from, to, at, field, advice) in [
         ("\"3s\"", "\"3 parsecs\"", "parsecs", "class \"salary-payment\".aim", "3s"),
         ("\"unsafe\"", "\"unsave\"", "unsave", "class \"salary-payment\".effect", "safe, keyed, unsafe"),
@@ -119,9 +119,9 @@
             "another name",
         ),
     ] {
-        let all = problems(from, to);
+        let all = problems_after_replacing(from, to);
         let problem = all.iter().find(|p| p.field == field).unwrap_or_else(|| panic!("{to}: {all:?}"));
-        let text = GOOD.replacen(from, to, 1);
+        let text = VALID_FILE.replacen(from, to, 1);
         let line = text[..text.find(at).unwrap()].matches('\n').count() + 1;
         assert_eq!((&problem.file[..], problem.line), ("c.hcl", line), "{problem}");
         assert!(problem.advice.contains(advice), "{problem}");
@@ -129,12 +129,13 @@
 }
 
 #[test]
-fn all_problems_are_reported_together_and_syntax_errors_with_their_line() {
-    let text =
-        GOOD.replace("\"unsafe\"", "\"x\"").replace("\"banks\" { batch = 4 }", "\"banks\" { batch = -1 }");
+fn parse_reports_all_problems_together_and_syntax_errors_with_their_line() {
+    let text = VALID_FILE
+        .replace("\"unsafe\"", "\"x\"")
+        .replace("\"banks\" { batch = 4 }", "\"banks\" { batch = -1 }");
     assert_eq!(parse("c.hcl", &text).unwrap_err().0.len(), 2);
-    let broken = parse("c.hcl", "courier {\n  name = \n}").unwrap_err();
-    assert_eq!((broken.0[0].line, &broken.0[0].field[..]), (2, "syntax"));
+    let syntax_error = parse("c.hcl", "courier {\n  name = \n}").unwrap_err();
+    assert_eq!((syntax_error.0[0].line, &syntax_error.0[0].field[..]), (2, "syntax"));
     assert!(parse("c.hcl", "").unwrap_err().0.iter().any(|p| p.field == "courier"));
 }
 
@@ -142,10 +143,10 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn random_text_never_panics(at in 0usize..1100, junk in "[\\PC\n]{0,20}") {
-        let mut text = GOOD.to_owned();
+    fn parse_never_panics_on_randomly_inserted_text(at in 0usize..1100, inserted in "[\\PC\n]{0,20}") {
+        let mut text = VALID_FILE.to_owned();
         let at = (0..=at.min(text.len())).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-        text.insert_str(at, &junk);
+        text.insert_str(at, &inserted);
         let _ = parse("c.hcl", &text);
     }
 }
