--- a/crates/load-metrics/src/balance.rs
+++ b/crates/load-metrics/src/balance.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLoad {
     /// Beginning of the window.
-    pub at: Duration,
+    pub window_start: Duration,
     /// Index of the endpoint in [`LoadRecord::endpoints`].
     pub endpoint: usize,
     /// Calls that reached it.
@@ -48,7 +48,7 @@
 
 /// Computes the balance of a record in windows of this length.
 pub(crate) fn balance(record: &LoadRecord, window: Duration) -> BalanceMetrics {
-    let loads = windows(record, window);
+    let loads = window_loads(record, window);
     let mut ratios: Vec<WeightedValue> =
         loads.iter().map(|load| WeightedValue { value: load.ratio(), weight: load.expected_load }).collect();
     ratios.sort_by(|a, b| a.value.total_cmp(&b.value));
@@ -62,7 +62,7 @@
 }
 
 /// Loads by endpoint and window, of partners with several endpoints; windows with too few calls are left out.
-pub fn windows(record: &LoadRecord, window: Duration) -> Vec<WindowLoad> {
+pub fn window_loads(record: &LoadRecord, window: Duration) -> Vec<WindowLoad> {
     let mut counts: BTreeMap<(usize, usize), BTreeMap<usize, u32>> = BTreeMap::new();
     for call in &record.calls {
         let partner = record.endpoints[call.endpoint].partner;
@@ -87,7 +87,7 @@
             continue;
         }
         loads.extend(in_service.into_iter().map(|endpoint| WindowLoad {
-            at: from,
+            window_start: from,
             endpoint,
             calls: counts.get(&endpoint).copied().unwrap_or(0),
             expected_load: f64::from(calls) * weighted_time(endpoint) / total,
@@ -106,7 +106,7 @@
 fn peak_over_mean(record: &LoadRecord, loads: &[WindowLoad]) -> f64 {
     let mut peaks: BTreeMap<(usize, Duration), Peak> = BTreeMap::new();
     for load in loads {
-        let peak = peaks.entry((record.endpoints[load.endpoint].partner, load.at)).or_default();
+        let peak = peaks.entry((record.endpoints[load.endpoint].partner, load.window_start)).or_default();
         peak.ratio = peak.ratio.max(load.ratio());
         peak.calls += f64::from(load.calls);
     }
@@ -160,7 +160,8 @@
 
 fn collision_share(record: &LoadRecord) -> f64 {
     let served = record.calls.iter().filter(|call| call.outcome == Outcome::Served);
-    let (count, sum) = served.fold((0u32, Duration::ZERO), |(n, sum), call| (n + 1, sum + call.took));
+    let (count, sum) =
+        served.fold((0u32, Duration::ZERO), |(n, sum), call| (n + 1, sum + call.response_time));
     let mean_service_time = sum / count.max(1);
     let mut previous = vec![None; record.endpoints.len()];
     let mut collisions = 0u32;
--- a/crates/load-metrics/src/lib.rs
+++ b/crates/load-metrics/src/lib.rs
@@ -13,7 +13,7 @@
 mod record;
 mod report;
 
-pub use balance::{windows, BalanceMetrics, WindowLoad};
+pub use balance::{window_loads, BalanceMetrics, WindowLoad};
 pub use limit_use::{limit_use, LimitUse};
 pub use record::{Call, Endpoint, LoadRecord, Outcome, Partner, WaitingInterval};
 pub use report::{measure, LoadMetrics};
--- a/crates/load-metrics/src/record.rs
+++ b/crates/load-metrics/src/record.rs
@@ -25,7 +25,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// From its arrival to its answer.
-    pub took: Duration,
+    pub response_time: Duration,
 }
 
 /// An endpoint and the time in which it was in service.
@@ -52,13 +52,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Partner {
     /// Beginning of each step and the limit from then on, the earliest first.
-    pub limit: Vec<(Duration, f64)>,
+    pub limit_steps: Vec<(Duration, f64)>,
 }
 
 impl Partner {
     /// The limit in force at this time, if there is one.
     pub fn limit_at(&self, at: Duration) -> Option<f64> {
-        self.limit.iter().take_while(|(from, _)| *from <= at).last().map(|(_, limit)| *limit)
+        self.limit_steps.iter().take_while(|(from, _)| *from <= at).last().map(|(_, limit)| *limit)
     }
 }
 
@@ -93,7 +93,7 @@
 impl LoadRecord {
     /// The calls and waiting intervals of one partner; the counts of messages and connections stay those of the whole
     /// run.
-    pub fn of(&self, partner: usize) -> LoadRecord {
+    pub fn for_partner(&self, partner: usize) -> LoadRecord {
         let calls = self.calls.iter().filter(|call| self.endpoints[call.endpoint].partner == partner);
         let waiting = self.waiting_intervals.iter().filter(|interval| interval.partner == partner);
         LoadRecord {
--- a/crates/load-metrics/tests/metrics.rs
+++ b/crates/load-metrics/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use cloverstile_load_metrics::reassignment::{reassign, Balancer};
 use cloverstile_load_metrics::{
-    limit_use, measure, windows, Call, Endpoint, LoadRecord, Outcome, Partner, WaitingInterval,
+    limit_use, measure, window_loads, Call, Endpoint, LoadRecord, Outcome, Partner, WaitingInterval,
 };
 use std::time::Duration;
 
@@ -18,8 +18,13 @@
 
 /// A call every ten milliseconds, to the endpoint and by the instance that are named for its number.
 fn record(weights: &[f64], calls: u64, to: impl Fn(u64) -> usize, by: impl Fn(u64) -> u32) -> LoadRecord {
-    let call =
-        |n| Call { at: ms(n * 10), endpoint: to(n), instance: by(n), outcome: Outcome::Served, took: ms(25) };
+    let call = |n| Call {
+        at: ms(n * 10),
+        endpoint: to(n),
+        instance: by(n),
+        outcome: Outcome::Served,
+        response_time: ms(25),
+    };
     LoadRecord {
         calls: (0..calls).map(call).collect(),
         endpoints: weights.iter().map(|weight| endpoint(*weight)).collect(),
@@ -56,7 +61,7 @@
     let balanced = measure(&record, WINDOW, 1);
     assert_eq!(balanced.observed.peak_over_mean, 1.0);
     // Before it was in service there is only one endpoint, and no window counts.
-    assert!(windows(&record, WINDOW).iter().all(|load| load.at >= ms(2000)));
+    assert!(window_loads(&record, WINDOW).iter().all(|load| load.window_start >= ms(2000)));
     // The central baseline gives it nothing before, and then no more than its share.
     let reassigned = reassign(&record, Balancer::Central);
     let late: Vec<&Call> = reassigned.calls.iter().filter(|call| call.endpoint == 1).collect();
@@ -75,7 +80,7 @@
 #[test]
 fn limit_use_counts_served_calls_while_messages_wait() {
     let mut record = record(&[1.0], 300, |_| 0, |_| 0);
-    record.partners[0].limit = vec![(Duration::ZERO, 100.0), (ms(2000), 50.0)];
+    record.partners[0].limit_steps = vec![(Duration::ZERO, 100.0), (ms(2000), 50.0)];
     // No message waits: no use is counted.
     assert!(limit_use(&record).is_empty());
     let waiting = |from, until| WaitingInterval { partner: 0, from: ms(from), until: ms(until) };
--- a/crates/simulator/src/load_balance/simulation.rs
+++ b/crates/simulator/src/load_balance/simulation.rs
@@ -51,21 +51,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadBalanceViolations {
     /// Messages without exactly one answer in time.
-    pub unanswered: u64,
+    pub missing_or_late_outcomes: u64,
     /// ... that took effect twice, or were refused although they took effect.
-    pub twice: u64,
+    pub repeated_effects: u64,
     /// Calls to endpoints that an update removed, after the grace period.
-    pub after_drain: u64,
+    pub sends_after_drain: u64,
     /// Calls before the end of a `Retry-After` that this instance had received.
-    pub waits_broken: u64,
+    pub early_retries: u64,
     /// Endpoints pushed over after an outage.
-    pub pushed_over: u64,
+    pub recovery_overloads: u64,
 }
 
 impl LoadBalanceViolations {
     /// Violations of all kinds together.
     pub fn total(&self) -> u64 {
-        self.unanswered + self.twice + self.after_drain + self.waits_broken + self.pushed_over
+        self.missing_or_late_outcomes
+            + self.repeated_effects
+            + self.sends_after_drain
+            + self.early_retries
+            + self.recovery_overloads
     }
 }
 
@@ -75,17 +79,17 @@
     /// Calls, endpoints and waiting intervals, for the metrics of load balance.
     pub record: LoadRecord,
     /// Worth of all messages if each were delivered on time.
-    pub offered: f64,
+    pub offered_value: f64,
     /// Worth of the delivered messages by their age at delivery.
-    pub earned: f64,
+    pub delivered_value: f64,
     /// Messages delivered, rejected and failed, in this order.
-    pub answers: [u64; 3],
+    pub outcome_counts: [u64; 3],
     /// Probes sent.
     pub probes: u64,
     /// Violations of the invariants.
     pub violations: LoadBalanceViolations,
     /// How often an instance was asked for its next commands.
-    pub turns: u64,
+    pub advance_calls: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -246,7 +250,7 @@
 
     fn note_limit(&mut self, partner: usize) {
         if let Some(limit) = self.sites.partners[partner].limit() {
-            self.run.record.partners[partner].limit.push((self.now, limit));
+            self.run.record.partners[partner].limit_steps.push((self.now, limit));
         }
     }
 
@@ -292,7 +296,7 @@
         let Arrival { class, partner, instance } = self.traffic.draw(&mut self.rng);
         let Some(spec) = self.scenario.class.values().nth(class) else { return };
         let deadline = self.now + Duration::from_secs_f64(spec.deadline);
-        self.run.offered += spec.worth;
+        self.run.offered_value += spec.worth;
         self.run.record.messages += 1;
         let number = self.messages.len() as u32;
         self.messages.push(Message {
@@ -323,17 +327,17 @@
         let now = self.now;
         let message = &mut self.messages[number as usize];
         if message.answered || now > message.deadline + slack {
-            self.run.violations.unanswered += 1;
+            self.run.violations.missing_or_late_outcomes += 1;
         }
         if message.answered {
             return;
         }
         message.answered = true;
-        self.run.answers[answer] += 1;
+        self.run.outcome_counts[answer] += 1;
         // A rejection states that the message never took effect.
-        self.run.violations.twice += u64::from(answer == 1 && message.effect_at.is_some());
+        self.run.violations.repeated_effects += u64::from(answer == 1 && message.effect_at.is_some());
         if let (0, Some(class)) = (answer, self.scenario.class.values().nth(message.class)) {
-            self.run.earned += class.worth_at((now - message.submitted_at).as_secs_f64());
+            self.run.delivered_value += class.worth_at((now - message.submitted_at).as_secs_f64());
         }
     }
 
@@ -349,12 +353,12 @@
         let reached = self.sites.reach(now, endpoint, &message.to_string());
         if self.returned.contains(&endpoint) && self.sites.endpoints[endpoint].model.has_collapsed() {
             self.returned.retain(|other| *other != endpoint);
-            self.run.violations.pushed_over += 1;
+            self.run.violations.recovery_overloads += 1;
         }
         let outcome = reached.outcome();
-        let took = reached.verdict.respond_at.map_or(Duration::ZERO, |at| at - now);
+        let response_time = reached.verdict.respond_at.map_or(Duration::ZERO, |at| at - now);
         let instance = self.calls[call].instance;
-        self.run.record.calls.push(Call { at: now, endpoint, instance, outcome, took });
+        self.run.record.calls.push(Call { at: now, endpoint, instance, outcome, response_time });
         if reached.verdict.takes_effect {
             self.record_effect(message);
         }
@@ -379,7 +383,7 @@
             Effect::Keyed => self.now - at >= class.retry_window,
             Effect::Unsafe => true,
         });
-        self.run.violations.twice += u64::from(again);
+        self.run.violations.repeated_effects += u64::from(again);
         message.effect_at.get_or_insert(self.now);
     }
 
@@ -397,7 +401,7 @@
         for number in 0..self.messages.len() as u32 {
             self.stop_waiting(number);
         }
-        self.run.violations.unanswered +=
+        self.run.violations.missing_or_late_outcomes +=
             self.messages.iter().filter(|message| !message.answered).count() as u64;
         self.run
     }
--- a/crates/simulator/src/load_balance/simulation/gateways.rs
+++ b/crates/simulator/src/load_balance/simulation/gateways.rs
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn advance(&mut self, instance: u32) {
-        self.run.turns += 1;
+        self.run.advance_calls += 1;
         let now = self.now;
         let next = match &mut self.gateways[instance as usize].client {
             Client::Module(engine) => {
@@ -250,13 +250,13 @@
         let grace = Duration::from_secs_f64(self.scenario.rules.drain_grace);
         let gateway = &mut self.gateways[instance as usize];
         if gateway.waits.get(&(partner, apart)).is_some_and(|until| now < *until) {
-            self.run.violations.waits_broken += 1;
+            self.run.violations.early_retries += 1;
         }
         let known_gone =
             self.removals[..gateway.received_updates].iter().find(|removals| removals.gone == endpoint);
         // Counted from the latest moment at which it can have heard of it.
         if known_gone.is_some_and(|removals| now > removals.at + UPDATE_SPREAD.max(grace) + grace) {
-            self.run.violations.after_drain += 1;
+            self.run.violations.sends_after_drain += 1;
         }
         let idle = gateway.idle.entry(endpoint).or_default();
         let fresh = Duration::from_secs_f64(self.scenario.conn_idle);
--- a/crates/simulator/tests/load_balance.rs
+++ b/crates/simulator/tests/load_balance.rs
@@ -31,7 +31,7 @@
         let scenario = scenario(name, 60);
         let run = simulate_load_balance(&scenario, ClientPolicy::Delivery, 3);
         assert_eq!(run.violations.total(), 0, "{name}: {:?}", run.violations);
-        assert_eq!(run.answers.iter().sum::<u64>(), run.record.messages, "{name}");
+        assert_eq!(run.outcome_counts.iter().sum::<u64>(), run.record.messages, "{name}");
     }
 }
 
@@ -40,7 +40,7 @@
     for choice in EndpointSelection::ALL {
         let scenario = scenario("replaced", 30);
         let run = simulate_load_balance(&scenario, ClientPolicy::Baseline(choice, Limiter::Aimd), 1);
-        assert_eq!(run.answers.iter().sum::<u64>(), run.record.messages, "{}", choice.name());
+        assert_eq!(run.outcome_counts.iter().sum::<u64>(), run.record.messages, "{}", choice.name());
     }
     for limiter in Limiter::ALL {
         let run = simulate_load_balance(
@@ -48,7 +48,7 @@
             ClientPolicy::Baseline(EndpointSelection::Random, limiter),
             1,
         );
-        assert_eq!(run.answers.iter().sum::<u64>(), run.record.messages, "{}", limiter.name());
+        assert_eq!(run.outcome_counts.iter().sum::<u64>(), run.record.messages, "{}", limiter.name());
     }
 }
 
--- a/crates/testbench/src/fleet/endpoint_requests.rs
+++ b/crates/testbench/src/fleet/endpoint_requests.rs
@@ -24,7 +24,7 @@
         let tracked = id.and_then(|id| self.tracker.message(id).map(|message| (id, message.gateway)));
         let Some((message, gateway)) = tracked else {
             // A message that no client submitted.
-            self.tracker.audit().twice += 1;
+            self.tracker.audit().repeated_effects += 1;
             return self.net.close(connection);
         };
         let partner = self.sites.endpoints[endpoint].partner;
@@ -38,7 +38,7 @@
             endpoint,
             instance: gateway as u32,
             outcome: reached.outcome(),
-            took: respond_at.map_or(Duration::ZERO, |at| at.saturating_sub(now)),
+            response_time: respond_at.map_or(Duration::ZERO, |at| at.saturating_sub(now)),
         };
         let recorded = self.tracker.run.record.calls.len();
         self.tracker.run.record.calls.push(call);
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -91,7 +91,7 @@
         let now = self.state.started.elapsed();
         let clean = self.state.supervisor.as_mut().is_none_or(ProcessSupervisor::shut_down);
         if !clean {
-            self.state.tracker.audit().unanswered += 1;
+            self.state.tracker.audit().missing_or_late_outcomes += 1;
         }
         let mut run = self.state.tracker.finish(now);
         run.record.calls.sort_by_key(|call| call.at);
--- a/crates/testbench/src/fleet/harness_state.rs
+++ b/crates/testbench/src/fleet/harness_state.rs
@@ -102,7 +102,7 @@
     /// Records a partner's shared limit as it is now.
     pub fn record_limit(&mut self, now: Duration, partner: usize) {
         if let Some(limit) = self.sites.partners[partner].limit() {
-            self.tracker.run.record.partners[partner].limit.push((now, limit));
+            self.tracker.run.record.partners[partner].limit_steps.push((now, limit));
         }
     }
 
--- a/crates/testbench/src/fleet/invariants.rs
+++ b/crates/testbench/src/fleet/invariants.rs
@@ -104,7 +104,7 @@
     /// A client has a message for a gateway; returns the message's number.
     pub fn on_submission(&mut self, now: Duration, gateway: usize, partner: usize, class: usize) -> usize {
         let contract = &self.classes[class];
-        self.run.offered += contract.spec.worth;
+        self.run.offered_value += contract.spec.worth;
         self.run.record.messages += 1;
         self.messages.push(TrackedMessage {
             partner,
@@ -165,9 +165,9 @@
         let early =
             retry_after.is_some_and(|wait| now > wait.written_at + RETRY_AFTER_SLACK && now < wait.until);
         let drained = self.draining_since.get(&endpoint).is_some_and(|since| now > *since + DRAIN_GRACE);
-        self.run.violations.twice += u64::from(forbidden);
-        self.run.violations.waits_broken += u64::from(early);
-        self.run.violations.after_drain += u64::from(drained);
+        self.run.violations.repeated_effects += u64::from(forbidden);
+        self.run.violations.early_retries += u64::from(early);
+        self.run.violations.sends_after_drain += u64::from(drained);
         self.messages[number].requests_in_flight += 1;
         self.update_waiting(now, number);
     }
@@ -222,20 +222,20 @@
         }
         message.completed = true;
         if now > message.deadline + OUTCOME_SLACK {
-            self.run.violations.unanswered += 1;
+            self.run.violations.missing_or_late_outcomes += 1;
         }
         match outcome {
             FinalOutcome::Delivered => {
                 let age = (now - message.submitted_at).as_secs_f64();
-                self.run.earned += self.classes[message.class].spec.worth_at(age);
-                self.run.answers[0] += 1;
+                self.run.delivered_value += self.classes[message.class].spec.worth_at(age);
+                self.run.outcome_counts[0] += 1;
             }
             FinalOutcome::Rejected => {
                 // A rejection promises that the message never ran.
-                self.run.violations.twice += u64::from(message.took_effect);
-                self.run.answers[1] += 1;
+                self.run.violations.repeated_effects += u64::from(message.took_effect);
+                self.run.outcome_counts[1] += 1;
             }
-            FinalOutcome::Failed => self.run.answers[2] += 1,
+            FinalOutcome::Failed => self.run.outcome_counts[2] += 1,
         }
         self.update_waiting(now, number);
     }
@@ -244,7 +244,7 @@
     pub fn finish(mut self, now: Duration) -> LoadBalanceRun {
         for number in 0..self.messages.len() {
             if !self.messages[number].completed {
-                self.run.violations.unanswered += 1;
+                self.run.violations.missing_or_late_outcomes += 1;
                 self.messages[number].completed = true;
                 self.update_waiting(now, number);
             }
--- a/crates/testbench/src/fleet/invariants/tests.rs
+++ b/crates/testbench/src/fleet/invariants/tests.rs
@@ -33,9 +33,9 @@
         unsafe_again.on_processed(ms(at), number, true, true);
         unsafe_again.on_request_completed(ms(at + 1), number);
     }
-    assert_eq!(unsafe_again.audit().twice, 1);
+    assert_eq!(unsafe_again.audit().repeated_effects, 1);
     // Nothing ended it.
-    assert_eq!(unsafe_again.finish(ms(9000)).violations.unanswered, 1);
+    assert_eq!(unsafe_again.finish(ms(9000)).violations.missing_or_late_outcomes, 1);
 
     let mut keyed = tracker("keyed");
     let number = keyed.on_submission(ms(0), 0, 0, 0);
@@ -43,28 +43,28 @@
         keyed.on_request(ms(at), number, 0, false);
         keyed.on_processed(ms(at), number, true, false);
     }
-    assert_eq!(keyed.audit().twice, 1, "the one outside its window");
+    assert_eq!(keyed.audit().repeated_effects, 1, "the one outside its window");
 
     let mut early = tracker("safe");
     let number = early.on_submission(ms(0), 7, 0, 0);
     early.on_retry_after(ms(100), number, 0, false, ms(1000));
     early.on_request(ms(150), number, 0, false);
-    assert_eq!(early.audit().waits_broken, 0, "it crossed the response");
+    assert_eq!(early.audit().early_retries, 0, "it crossed the response");
     early.on_request(ms(900), number, 0, false);
     early.on_request(ms(1100), number, 0, false);
-    assert_eq!(early.audit().waits_broken, 1);
+    assert_eq!(early.audit().early_retries, 1);
     early.on_drain(ms(2000), 0);
     early.on_request(ms(4000), number, 0, false);
-    assert_eq!(early.audit().after_drain, 0);
+    assert_eq!(early.audit().sends_after_drain, 0);
     early.on_request(ms(4100), number, 0, false);
-    assert_eq!(early.audit().after_drain, 1);
+    assert_eq!(early.audit().sends_after_drain, 1);
 
     let mut untrue = tracker("safe");
     let number = untrue.on_submission(ms(0), 0, 0, 0);
     untrue.on_request(ms(1), number, 0, false);
     untrue.on_processed(ms(1), number, true, true);
     untrue.on_final_outcome(ms(6000), number, FinalOutcome::Rejected);
-    assert_eq!((untrue.audit().twice, untrue.audit().unanswered), (1, 1));
+    assert_eq!((untrue.audit().repeated_effects, untrue.audit().missing_or_late_outcomes), (1, 1));
 }
 
 #[test]
--- a/crates/testbench/src/load_report.rs
+++ b/crates/testbench/src/load_report.rs
@@ -67,7 +67,7 @@
         elapsed: Duration,
     ) -> LoadReport {
         let metrics = measure(&run.record, Duration::from_secs_f64(scenario.window), seed);
-        let [delivered, rejected, failed] = run.answers;
+        let [delivered, rejected, failed] = run.outcome_counts;
         LoadReport {
             gateways: scenario.instances,
             endpoints: run.record.endpoints.len(),
@@ -75,7 +75,7 @@
             answered: delivered + rejected + failed,
             rejected,
             failed,
-            value_ratio: run.earned / run.offered.max(1e-9),
+            value_ratio: run.delivered_value / run.offered_value.max(1e-9),
             peak_over_mean: metrics.observed.peak_over_mean,
             central_peak_over_mean: metrics.central.peak_over_mean,
             random_peak_over_mean: metrics.random.peak_over_mean,
--- a/crates/testbench/tests/fleet.rs
+++ b/crates/testbench/tests/fleet.rs
@@ -72,7 +72,7 @@
     assert!(report.messages > 250, "{report:?}");
     assert_eq!(report.endpoints, 6, "one was replaced");
     // Submissions in progress at the three killed gateways are lost to their clients; accepted messages are not.
-    assert!(run.answers[0] as f64 > 0.85 * report.messages as f64, "{report:?}");
+    assert!(run.outcome_counts[0] as f64 > 0.85 * report.messages as f64, "{report:?}");
     // All requests to one of three would leave two thirds of that partner idle.
     assert!(report.idle_share < 0.1, "{report:?}");
     assert!(report.new_connections_per_message < 0.6, "{report:?}");
