--- a/crates/as2-gateway/src/failover_setup.rs
+++ b/crates/as2-gateway/src/failover_setup.rs
@@ -35,7 +35,7 @@
     let fleet = FleetParameters {
         instance_count: instances,
         instance_index: config.identity.instance_index.unwrap_or((seed % u64::from(instances)) as u32),
-        epoch: since_epoch,
+        clock_at_time_zero: since_epoch,
         ..FleetParameters::for_rules(&config.policy.rules)
     };
     FailoverPlanner::new(Time::ZERO, fleet, tiers.collect())
--- a/crates/failover/src/fleet.rs
+++ b/crates/failover/src/fleet.rs
@@ -16,8 +16,8 @@
     pub instance_count: u32,
     /// This instance's index among them, from 0.
     pub instance_index: u32,
-    /// The fleet's common clock at this instance's time zero: time slots go by it.
-    pub epoch: Duration,
+    /// Reading, at this instance's [`Time::ZERO`], of the clock that all instances share; time slots are counted on it.
+    pub clock_at_time_zero: Duration,
     /// Share of its capacity, from 0 to 1, that a tier has when it starts to recover.
     pub warm_up_capacity: f64,
     /// Time from the first response of a recovering tier until it has its whole capacity.
@@ -38,7 +38,7 @@
         FleetParameters {
             instance_count: 1,
             instance_index: 0,
-            epoch: Duration::ZERO,
+            clock_at_time_zero: Duration::ZERO,
             warm_up_capacity: rules.warm_up_capacity,
             warm_up_time: rules.warm_up_time,
             max_transient_outage: rules.overload_window.mul_f64(TRANSIENT_OUTAGE_RATIO),
--- a/crates/failover/src/time_slot.rs
+++ b/crates/failover/src/time_slot.rs
@@ -105,7 +105,7 @@
     let length = requests / capacity;
     let cycle = length * instances;
     let offset = f64::from(fleet.instance_index) * length;
-    let clock = (fleet.epoch + (after - Time::ZERO)).as_secs_f64();
+    let clock = (fleet.clock_at_time_zero + (after - Time::ZERO)).as_secs_f64();
     let mut round = ((clock - offset) / cycle).floor() + 1.0;
     let phase = fleet.phase(0);
     let share = capacity_share.clamp(MIN_CAPACITY_SHARE, 1.0);
--- a/crates/failover/src/time_slot/tests.rs
+++ b/crates/failover/src/time_slot/tests.rs
@@ -6,8 +6,13 @@
 fn requests_by_window(instance_count: u32, capacity: f64, capacity_share: f64) -> Vec<u32> {
     let mut counts = vec![0; 100];
     for instance_index in 0..instance_count {
-        let epoch = Duration::from_millis(1_234_567);
-        let fleet = FleetParameters { instance_count, instance_index, epoch, ..FleetParameters::default() };
+        let clock_at_time_zero = Duration::from_millis(1_234_567);
+        let fleet = FleetParameters {
+            instance_count,
+            instance_index,
+            clock_at_time_zero,
+            ..FleetParameters::default()
+        };
         let mut at = Time::ZERO;
         loop {
             let slot = next_shared_slot(&fleet, at, capacity, capacity_share);
