--- a/crates/capacity-planning/src/flow.rs
+++ b/crates/capacity-planning/src/flow.rs
@@ -1,39 +1,42 @@
-//! How much may flow to each partner in an outage, and the linear program that shares out the zones' capacity.
+//! Limits on the message rate to each partner in an outage, and the linear program that allocates the zones' capacity.
 
 use crate::network::{Network, PartnerDemand};
 use good_lp::{constraint, microlp, variable, Expression, ProblemVariables, Solution, SolverModel};
 
-/// Messages a second below which two rates count as equal.
+/// Rates, in messages per second, that differ by no more than this are equal. Also the least priority weight in the
+/// objective.
 pub(crate) const TOLERANCE: f64 = 1e-6;
 
-/// Whether the configured spill limits hold.
+/// Which spill limits the linear program applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SpillLimits {
+    /// The configured spill share and spill rate.
     Configured,
+    /// No spill limit.
     Unlimited,
 }
 
-/// What may flow to one partner in one outage, in messages a second.
-pub(crate) struct Flow {
-    /// Index of the first site that is left.
+/// Limits on the message rate to one partner in one outage. All rates are in messages per second.
+pub(crate) struct PartnerFlow {
+    /// Index in [`PartnerDemand::sites`] of the first site outside the lost zones; `None` if all sites are lost.
     pub site: Option<usize>,
-    /// Messages that are offered.
+    /// Rate of messages submitted for the partner.
     pub demand: f64,
-    /// Messages that the site takes.
+    /// Capacity of the site; infinite if it is unknown.
     pub site_capacity: f64,
-    /// Messages that may spill to the site; unlimited at the preferred one.
+    /// Rate that may spill to the site; infinite at the preferred site, zero if all sites are lost.
     pub spill_limit: f64,
 }
 
-impl Flow {
-    /// The flow to a partner while the zones with these indices are lost.
-    pub fn new(partner: &PartnerDemand, lost_zones: &[usize]) -> Flow {
+impl PartnerFlow {
+    /// Computes the limits for a partner while the zones with the indices `lost_zones` are lost.
+    pub fn new(partner: &PartnerDemand, lost_zones: &[usize]) -> PartnerFlow {
         let site = partner.sites.iter().position(|site| !lost_zones.contains(&site.zone));
         let site_capacity = site.map_or(0.0, |site| match partner.sites[site].capacity {
             capacity if capacity > 0.0 => capacity,
             _ => f64::INFINITY,
         });
-        // Each lost site lets its share through, so that behind two of them a share of the share is left.
+        // Each lost site passes only its spill share on, so the share applies once per lost site.
         let spill_limit = match site {
             Some(0) => f64::INFINITY,
             Some(lost_sites) => {
@@ -42,11 +45,11 @@
             }
             None => 0.0,
         };
-        Flow { site, demand: partner.demand, site_capacity, spill_limit }
+        PartnerFlow { site, demand: partner.demand, site_capacity, spill_limit }
     }
 
-    /// Messages a second that may flow at most, the zone's capacity aside.
-    fn limit(&self, spill_limits: SpillLimits) -> f64 {
+    /// Upper bound of the rate, without regard to the capacity of the zone.
+    fn max_rate(&self, spill_limits: SpillLimits) -> f64 {
         if self.site.is_none() {
             return 0.0;
         }
@@ -58,15 +61,19 @@
     }
 }
 
-/// Messages a second to each partner that carry the most priority weight.
-pub(crate) fn solve(
+/// Returns the messages per second to each partner, in the order of [`Network::partners`], that carry the most priority
+/// weight. `flows` has the same order. The error is the solver's message.
+pub(crate) fn maximize_carried_weight(
     network: &Network,
-    flows: &[Flow],
+    flows: &[PartnerFlow],
     spill_limits: SpillLimits,
 ) -> Result<Vec<f64>, String> {
     let mut variables = ProblemVariables::new();
-    let rates: Vec<_> =
-        flows.iter().map(|flow| variables.add(variable().min(0.0).max(flow.limit(spill_limits)))).collect();
+    let rates: Vec<_> = flows
+        .iter()
+        .map(|flow| variables.add(variable().min(0.0).max(flow.max_rate(spill_limits))))
+        .collect();
+    // A partner of weight zero still gets the capacity that no other partner uses.
     let carried_weight: Expression = network
         .partners
         .iter()
@@ -80,8 +87,8 @@
             network.partners.iter().zip(flows).zip(&rates).filter(|((partner, flow), _)| {
                 flow.site.is_some_and(|site| partner.sites[site].zone == index)
             });
-        let sum: Expression = into_zone.map(|(_, rate)| Expression::from(*rate)).sum();
-        problem = problem.with(constraint!(sum <= capacity));
+        let zone_rate: Expression = into_zone.map(|(_, rate)| Expression::from(*rate)).sum();
+        problem = problem.with(constraint!(zone_rate <= capacity));
     }
     let solution = problem.solve().map_err(|error| error.to_string())?;
     Ok(rates.iter().map(|rate| solution.value(*rate)).collect())
--- a/crates/capacity-planning/src/lib.rs
+++ b/crates/capacity-planning/src/lib.rs
@@ -1,10 +1,10 @@
-//! Capacity planning for the outage of a zone, or of two: whether the demand is carried with the configured spill
-//! shares, what limits it, and which shares would carry the most priority weight. Free of I/O.
+//! Capacity planning for the outage of one or two zones: whether the demand is carried with the configured spill
+//! shares, what limits it, and which spill shares would carry the most priority weight. Performs no I/O.
 //!
-//! Each outage is a linear program. Its variables are the messages a second that go to each partner's first site that is
-//! left: at most the demand, the site's capacity, what may spill, and, for all partners together, the capacity of the
-//! zone. The sum of their priority weights is maximised. A second program without the configured spill limits shows what
-//! other shares would carry.
+//! Each outage is modelled as a linear program. Its variables are the messages per second sent to each partner's first
+//! available site. A variable is limited by the demand, the capacity of the site and the spill limits; the sum over all
+//! partners is limited by the capacity of the zone. The objective is the priority weight carried per second. A second
+//! program ignores the configured spill limits and so finds the spill shares that would carry the most.
 #![forbid(unsafe_code)]
 
 mod flow;
--- a/crates/capacity-planning/src/network.rs
+++ b/crates/capacity-planning/src/network.rs
@@ -1,45 +1,45 @@
-//! The input of capacity planning: zones, partners, their sites and the demand for them.
+//! Input of capacity planning: zones, partners, their sites and the demand for them.
 
-/// A partner's site.
+/// A site from which a partner serves requests.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Index in [`Network::zones`].
+    /// Index of the site's zone in [`Network::zones`].
     pub zone: usize,
-    /// Requests a second that it takes; zero where unknown, which counts as unlimited.
+    /// Capacity in requests per second; zero if unknown, which counts as unlimited.
     pub capacity: f64,
 }
 
-/// A partner and the demand for it.
+/// A partner, the peak demand for it and the rules by which its messages spill.
 #[derive(Clone, Debug)]
 pub struct PartnerDemand {
-    /// The partner's name.
+    /// Name of the partner, as reported in [`crate::PartnerReport::partner`].
     pub name: String,
-    /// Messages a second, from all gateway instances, at the busiest time.
+    /// Peak demand in messages per second, summed over all gateway instances.
     pub demand: f64,
-    /// Priority weight of one message.
+    /// Priority weight of one message; scarce capacity goes to the partners with the greatest weight.
     pub priority_weight: f64,
-    /// Its sites, the preferred one first.
+    /// Sites in order of preference, the preferred one first.
     pub sites: Vec<Site>,
-    /// Share of the messages for a lost site that may go to the next one, from 0 to 1.
+    /// Share of the messages for a lost site that may spill to the next one, from 0 to 1.
     pub spill_share: f64,
-    /// Messages a second that may spill; none: the share alone limits.
+    /// Most messages per second that may spill; `None` if only the share limits them.
     pub spill_rate: Option<f64>,
 }
 
-/// A zone.
+/// A failure domain that contains sites of one or more partners.
 #[derive(Clone, Debug)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone, as reported in [`crate::OutageReport::zones`].
     pub name: String,
-    /// Requests a second into it, for all partners together; none: unlimited.
+    /// Capacity in requests per second into the zone, shared by all partners; `None` if unlimited.
     pub capacity: Option<f64>,
 }
 
-/// All zones and partners.
+/// The zones and partners for which capacity is planned.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// All zones.
+    /// The zones; other items refer to them by index.
     pub zones: Vec<Zone>,
-    /// All partners.
+    /// The partners; reports list them in this order.
     pub partners: Vec<PartnerDemand>,
 }
--- a/crates/capacity-planning/src/outage.rs
+++ b/crates/capacity-planning/src/outage.rs
@@ -1,25 +1,27 @@
-//! Plans outages: what is carried, what limits it, and which spill shares would carry the most.
+//! Planning of outages: what is carried, what limits it, and which spill shares would carry the most.
 
-use crate::flow::{solve, Flow, SpillLimits, TOLERANCE};
+use crate::flow::{maximize_carried_weight, PartnerFlow, SpillLimits, TOLERANCE};
 use crate::network::{Network, PartnerDemand};
 use crate::report::{Bottleneck, OutageReport, PartnerReport, PlanError};
 
-/// Plans one outage; `lost_zones` are indices in [`Network::zones`], none for normal operation.
+/// Plans for the outage of the zones whose indices in [`Network::zones`] are `lost_zones`; an empty slice means normal
+/// operation.
 ///
 /// # Errors
-/// Figures for which the linear program has no solution.
+/// Returns an error if the linear program has no solution with the rates and shares in `network`.
 ///
 /// # Panics
-/// Where an index is that of no zone.
+/// Panics if an index in `lost_zones` is out of range.
 pub fn plan_outage(network: &Network, lost_zones: &[usize]) -> Result<OutageReport, PlanError> {
     let zones: Vec<String> = lost_zones.iter().map(|zone| network.zones[*zone].name.clone()).collect();
-    let flows: Vec<Flow> = network.partners.iter().map(|partner| Flow::new(partner, lost_zones)).collect();
-    let carried = |spill_limits| {
-        solve(network, &flows, spill_limits)
+    let flows: Vec<PartnerFlow> =
+        network.partners.iter().map(|partner| PartnerFlow::new(partner, lost_zones)).collect();
+    let plan_rates = |spill_limits| {
+        maximize_carried_weight(network, &flows, spill_limits)
             .map_err(|reason| PlanError { zones: format!("[{}]", zones.join(", ")), reason })
     };
-    let configured = carried(SpillLimits::Configured)?;
-    let best = carried(SpillLimits::Unlimited)?;
+    let configured = plan_rates(SpillLimits::Configured)?;
+    let best = plan_rates(SpillLimits::Unlimited)?;
     let partners: Vec<PartnerReport> = network
         .partners
         .iter()
@@ -37,18 +39,19 @@
     let demand: Vec<f64> = network.partners.iter().map(|partner| partner.demand).collect();
     Ok(OutageReport {
         fully_carried: partners.iter().all(|partner| partner.bottleneck == Bottleneck::None),
-        offered_weight: weight(network, &demand),
-        carried_weight: weight(network, &configured),
-        best_carried_weight: weight(network, &best),
+        offered_weight: total_weight(network, &demand),
+        carried_weight: total_weight(network, &configured),
+        best_carried_weight: total_weight(network, &best),
         zones,
         partners,
     })
 }
 
-/// Plans normal operation, the outage of each zone that some partner serves from, and, with `pairs`, of each two.
+/// Plans for normal operation, for the outage of each zone that contains a site, and, if `pairs` is set, for the outage
+/// of each pair of those zones. Zones without a site are left out.
 ///
 /// # Errors
-/// As [`plan_outage`].
+/// Returns the first error of [`plan_outage`].
 pub fn plan_outages(network: &Network, pairs: bool) -> Result<Vec<OutageReport>, PlanError> {
     let has_site =
         |zone: &usize| network.partners.iter().any(|partner| partner.sites.iter().any(|s| s.zone == *zone));
@@ -67,12 +70,12 @@
     Ok(reports)
 }
 
-/// Priority weight a second of these messages a second to each partner.
-fn weight(network: &Network, rates: &[f64]) -> f64 {
+/// Sum of the priority weight per second that `rates`, the messages per second to each partner, carry.
+fn total_weight(network: &Network, rates: &[f64]) -> f64 {
     network.partners.iter().zip(rates).map(|(partner, rate)| partner.priority_weight * rate).sum::<f64>()
 }
 
-/// Whether a partner with any demand has lost a site or gets less than its demand.
+/// Whether a partner with demand has lost a site or is carried less than its demand.
 fn is_affected(partner: &PartnerDemand, lost_zones: &[usize], carried: f64) -> bool {
     if partner.demand <= 0.0 {
         return false;
@@ -82,14 +85,15 @@
     lost_a_site || is_short
 }
 
-/// The spill share that lets the best flow through; behind several lost sites the share counts as often.
-fn best_share(partner: &PartnerDemand, flow: &Flow, best_carried: f64) -> Option<f64> {
+/// The spill share at which `best_carried` messages per second spill. The share applies once per lost site, so with
+/// several of them this is the corresponding root. `None` if the preferred site is available or no site is.
+fn best_share(partner: &PartnerDemand, flow: &PartnerFlow, best_carried: f64) -> Option<f64> {
     let lost_sites = flow.site.filter(|lost_sites| *lost_sites > 0)?;
     Some((best_carried / partner.demand).clamp(0.0, 1.0).powf(1.0 / lost_sites as f64))
 }
 
-/// What limits the messages carried to a partner.
-fn bottleneck(network: &Network, partner: &PartnerDemand, flow: &Flow, carried: f64) -> Bottleneck {
+/// What limits the `carried` messages per second of a partner.
+fn bottleneck(network: &Network, partner: &PartnerDemand, flow: &PartnerFlow, carried: f64) -> Bottleneck {
     let zone = |site: usize| network.zones[partner.sites[site].zone].name.clone();
     match flow.site {
         _ if carried + TOLERANCE >= flow.demand => Bottleneck::None,
--- a/crates/capacity-planning/src/report.rs
+++ b/crates/capacity-planning/src/report.rs
@@ -1,71 +1,72 @@
-//! The output of capacity planning. Its JSON keys are part of the command line's interface and stay as they are.
+//! Output of capacity planning. Its JSON keys and values are part of the interface of the command line.
 
 use serde::Serialize;
 
-/// What keeps a partner from getting its whole demand.
+/// What prevents the whole demand for a partner from being carried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Bottleneck {
-    /// Nothing: the whole demand is carried.
+    /// No limit applies: the whole demand is carried.
     #[serde(rename = "nothing")]
     None,
-    /// No site is left.
+    /// All sites of the partner are lost.
     NoSite,
-    /// The configured spill share.
+    /// The configured [`crate::PartnerDemand::spill_share`].
     SpillShare,
-    /// The configured spill rate.
+    /// The configured [`crate::PartnerDemand::spill_rate`].
     SpillRate,
-    /// The capacity of the partner's site in this zone.
+    /// The capacity of the partner's own site in the named zone.
     Site(String),
-    /// The capacity of this zone, shared by all partners.
+    /// The capacity of the named zone, which all partners share.
     Zone(String),
 }
 
-/// One partner in one outage.
+/// The result for one partner in one outage.
 #[derive(Clone, Debug, Serialize)]
 pub struct PartnerReport {
-    /// The partner's name.
+    /// Name of the partner.
     pub partner: String,
-    /// Messages a second that are offered.
+    /// Demand in messages per second.
     #[serde(rename = "wanted")]
     pub demand: f64,
-    /// Messages a second that are carried with the configured spill shares.
+    /// Messages per second that are carried with the configured spill limits.
     pub carried: f64,
-    /// What limits the messages carried.
+    /// What limits `carried`.
     #[serde(rename = "binds")]
     pub bottleneck: Bottleneck,
-    /// The spill share at which the most priority weight is carried over all partners; none where the preferred site is
-    /// left, or no site is.
+    /// The spill share at which the most priority weight is carried over all partners; `None` if the preferred site is
+    /// available or no site is.
     pub best_share: Option<f64>,
-    /// Messages a second that would be carried then.
+    /// Messages per second that would be carried with that share.
     pub best_carried: f64,
 }
 
-/// One outage, or normal operation.
+/// The result for one outage, or for normal operation.
 #[derive(Clone, Debug, Serialize)]
 pub struct OutageReport {
-    /// Names of the zones that are lost; empty in normal operation.
+    /// Names of the lost zones; empty in normal operation.
     pub zones: Vec<String>,
-    /// Whether the whole demand is carried.
+    /// Whether the whole demand for every partner is carried.
     #[serde(rename = "whole")]
     pub fully_carried: bool,
-    /// Priority weight a second that is offered.
+    /// Priority weight per second of the whole demand.
     #[serde(rename = "worth_wanted")]
     pub offered_weight: f64,
-    /// Priority weight a second that is carried with the configured spill shares.
+    /// Priority weight per second that is carried with the configured spill limits.
     #[serde(rename = "worth")]
     pub carried_weight: f64,
-    /// Priority weight a second that the best spill shares would carry.
+    /// Priority weight per second that the best spill shares would carry.
     #[serde(rename = "best_worth")]
     pub best_carried_weight: f64,
-    /// The partners that have a site in a lost zone or get less than their demand, in their order.
+    /// The partners that have demand and either lose a site or are carried less than their demand, in the order of
+    /// [`crate::Network::partners`].
     pub partners: Vec<PartnerReport>,
 }
 
-/// An outage that can't be planned for.
+/// The linear program of an outage has no solution.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "the outage of {zones} can't be computed: {reason}; rates and shares must be finite and not below zero"
+    "cannot plan for the outage of zones {zones}: {reason}; rates and shares must be finite and non-negative"
 )]
 pub struct PlanError {
     pub(crate) zones: String,
--- a/crates/capacity-planning/tests/outages.rs
+++ b/crates/capacity-planning/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Outages whose demand is carried, and what limits those whose demand is not.
+//! Tests which demand is carried in an outage, and which limit is reported where it is not.
 
 use cloverstile_capacity_planning::{
     plan_outage, plan_outages, Bottleneck, Network, PartnerDemand, Site, Zone,
@@ -19,7 +19,7 @@
     PartnerDemand { name: name.into(), demand, priority_weight, sites, spill_share, spill_rate: None }
 }
 
-/// Two partners whose second site is in the south, and one that has no second site.
+/// Two partners with a second site in zone "south", whose capacity is `south`, and one partner without a second site.
 fn three_partners(spill_share: f64, south: Option<f64>) -> Network {
     Network {
         zones: vec![zone("north", None), zone("south", south), zone("west", None)],
@@ -38,7 +38,7 @@
     let reported: Vec<_> =
         north.partners.iter().map(|p| (p.partner.as_str(), p.carried, p.bottleneck.clone())).collect();
     assert_eq!(reported, [("alpha", 50.0, Bottleneck::SpillShare), ("beta", 50.0, Bottleneck::SpillShare)]);
-    // The south takes 80 of alpha's 100 and all of beta's.
+    // The sites in "south" can carry 80 of alpha's 100 messages per second and all of beta's.
     assert_eq!(north.partners.iter().map(|p| p.best_share).collect::<Vec<_>>(), [Some(0.8), Some(1.0)]);
     assert_eq!(
         (north.offered_weight, north.carried_weight, north.best_carried_weight),
@@ -68,7 +68,7 @@
     let north = plan_outage(&network, &[0]).expect("a solution");
     assert_eq!((north.partners[1].carried, &north.partners[1].bottleneck), (30.0, &Bottleneck::SpillRate));
     let south = plan_outage(&network, &[1]).expect("a solution");
-    assert!(south.fully_carried, "nobody prefers the south");
+    assert!(south.fully_carried, "no partner has its preferred site in zone south");
 }
 
 #[test]
@@ -80,7 +80,10 @@
     };
     let all = plan_outages(&network, true).expect("solutions");
     assert_eq!(all.len(), 1 + 3 + 3);
-    let both = all.iter().find(|report| report.zones == ["a", "b"]).expect("that outage");
+    let both = all
+        .iter()
+        .find(|report| report.zones == ["a", "b"])
+        .expect("a report on the outage of zones a and b");
     assert!((both.partners[0].carried - 25.0).abs() < 1e-6, "{both:?}");
     assert!(all[0].fully_carried && all[0].zones.is_empty());
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,20 +1,21 @@
-//! Priority failover between a partner's sites, limited spillover, and recovery without overload. Free of I/O and
-//! clocks.
+//! Priority failover between a partner's sites, limited spillover, and recovery without overload. Performs no I/O and
+//! reads no clock.
 //!
-//! A partner may serve from several sites, its tiers, in an order of preference. [`FailoverPlanner`] selects each
-//! message's tier when it is submitted: the first one, unless that is down; then a configured share, and no more, spills
-//! to the next, and the rest waits where it is. For the messages that already waited when a tier went down, a tier is
-//! selected once more, at the rate at which new messages come; the engine decides which of them may still change their
-//! tier. The results of requests show whether a tier is down, and when it recovers. While it is down, and while it warms
-//! up after that, its recovery gate opens only in this instance's own time slots. The delivery policy decides all else:
-//! health and rate of each endpoint, retries, the final outcome.
+//! A partner may serve from several sites, its tiers, in order of preference. [`FailoverPlanner`] selects the tier of
+//! each message at submission: the first tier, unless it is down. If it is down, at most a configured share of the
+//! messages spills to the next tier, and the rest waits for the first. For messages that were already waiting when the
+//! tier went down, a tier is selected again, at the rate at which new messages arrive; the engine decides which of them
+//! may still change their tier. The results of requests show when a tier is down and when it recovers. While it is
+//! down, and while it warms up afterwards, its recovery gate opens only in the time slots of this instance. Endpoint
+//! health, rate limits, retries and the final outcome are up to the delivery policy.
 //!
-//! Modules, each of which uses only those above it:
+//! Modules in order of dependency, each using only those listed before it:
 //!
-//! - `fleet`, `policy`, `spill`, `zone_outage`: parameters and interface, the spill budget, outages of zones.
-//! - `time_slot`, `recovery_gate`: when this instance may send to a tier that recovers.
-//! - `tier`: one tier's state.
-//! - `planner`: all partners.
+//! - `fleet`, `policy`, `spill`, `zone_outage`: fleet parameters, the public interface, the spill budget, and the
+//!   detection of zone outages.
+//! - `time_slot`, `recovery_gate`: when this instance may send to a recovering tier.
+//! - `tier`: the state of one tier.
+//! - `planner`: the tiers of all partners.
 #![forbid(unsafe_code)]
 
 mod fleet;
--- a/crates/failover/src/planner.rs
+++ b/crates/failover/src/planner.rs
@@ -1,4 +1,4 @@
-//! The failover policy in service: tiers of all partners, and outages of whole zones.
+//! The failover policy used in production: tracks the tiers of all partners and outages of whole zones.
 
 use crate::fleet::FleetParameters;
 use crate::policy::{FailoverPolicy, GateState, Reassignment, RequestResult, TierConfig, TierStatus};
@@ -9,48 +9,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Weight of the newest gap between submissions in the mean one.
+/// Weight of the newest submission gap in its exponentially weighted mean.
 const SUBMISSION_GAP_GAIN: f64 = 0.1;
-/// Least time between two reassignments.
+/// Minimum time between two reassignments from a tier.
 const MIN_REASSIGNMENT_GAP: Duration = Duration::from_millis(1);
 
 /// A partner with several tiers.
 struct Partner {
     config: TierConfig,
     tiers: Vec<Tier>,
-    /// Mean time between two submissions.
+    /// Exponentially weighted mean time between two submissions, each counted as [`TierConfig::down_after`] at most.
     mean_submission_gap: Duration,
     last_submission: Time,
 }
 
-/// Where a destination stands among the tiers.
+/// Which tier of which partner a destination is.
 #[derive(Clone, Copy)]
 struct TierIndex {
+    /// First destination of the partner, its key in [`FailoverPlanner::partners`].
     partner: DestinationId,
     /// Index in [`Partner::tiers`].
     index: usize,
 }
 
-/// How a zone's status changed.
+/// A change of a zone's status, which applies to all tiers in the zone.
 #[derive(Clone, Copy)]
 enum ZoneChange {
     Down,
     Recovered,
 }
 
-/// Priority failover between tiers, as one gateway instance plans it.
+/// Priority failover between tiers, from the point of view of one gateway instance.
 #[derive(Default)]
 pub struct FailoverPlanner {
     fleet: FleetParameters,
     partners: BTreeMap<DestinationId, Partner>,
     tier_indices: BTreeMap<DestinationId, TierIndex>,
-    /// Tiers with a recovery gate, or with waiting messages to reassign.
-    watched: BTreeSet<DestinationId>,
+    /// Tiers that have a recovery gate or waiting messages to reassign; the only ones that timeouts concern.
+    tiers_with_pending_work: BTreeSet<DestinationId>,
     zones: BTreeMap<ZoneId, ZoneOutageDetector>,
 }
 
 impl FailoverPlanner {
-    /// A planner that knows these partners; all others have one tier, and it leaves them alone.
+    /// Creates a planner for `partners`. Any other partner has a single tier, which [`FailoverPolicy::select_tier`]
+    /// always selects.
     pub fn new(now: Time, fleet: FleetParameters, partners: Vec<TierConfig>) -> Self {
         let mut planner = FailoverPlanner { fleet, ..FailoverPlanner::default() };
         for config in partners {
@@ -85,18 +87,18 @@
         self.partners.get_mut(partner)?.tiers.get_mut(*index)
     }
 
-    /// Gives a tier a recovery gate if it needs one, and watches it while it has something to do.
-    fn watch(&mut self, now: Time, destination: DestinationId) {
+    /// Gives a tier a recovery gate if it needs one, and registers it if it has a gate or messages to reassign.
+    fn register_pending_work(&mut self, now: Time, destination: DestinationId) {
         let Some(TierIndex { partner, index }) = self.tier_indices.get(&destination) else { return };
         let Some(partner) = self.partners.get_mut(partner) else { return };
         let tier = &mut partner.tiers[*index];
         tier.add_gate_if_needed(now, &self.fleet);
-        if tier.needs_attention() {
-            self.watched.insert(destination);
+        if tier.has_pending_work() {
+            self.tiers_with_pending_work.insert(destination);
         }
     }
 
-    /// A tier responded.
+    /// Records a response of a tier; returns a change if it ends the outage of the zone.
     fn on_response(&mut self, now: Time, destination: DestinationId) -> Option<ZoneChange> {
         let TierIndex { partner, index } = self.tier_indices.get(&destination)?;
         let Partner { config, tiers, .. } = self.partners.get_mut(partner)?;
@@ -107,13 +109,13 @@
         zone.on_response(now).then_some(ZoneChange::Recovered)
     }
 
-    /// A request to a tier failed without a response.
+    /// Records a request to a tier that failed without a response; returns a change if the zone is down from now on.
     fn on_failure(&mut self, now: Time, destination: DestinationId, latency: Duration) -> Option<ZoneChange> {
         let TierIndex { partner, index } = self.tier_indices.get(&destination)?;
         let Partner { config, tiers, .. } = self.partners.get_mut(partner)?;
         let tier = tiers.get_mut(*index)?;
         let sent_at = now - latency;
-        // Sent before the last response, it says nothing new.
+        // A request sent before the last response says nothing about the tier's status after that response.
         if sent_at < tier.last_response {
             return None;
         }
@@ -122,13 +124,13 @@
         zone.on_failure(now, *partner, sent_at, config.down_after).then_some(ZoneChange::Down)
     }
 
-    /// The zone of a tier went down or recovered: its other tiers learn of it.
+    /// Applies a change of the zone of the tier `cause` to the other tiers in the zone.
     fn on_zone_change(&mut self, now: Time, cause: DestinationId, change: ZoneChange) {
         let zone = self.tier(cause).and_then(|tier| tier.zone).and_then(|zone| self.zones.get(&zone));
         let tiers = zone.map_or_else(Vec::new, |zone| zone.tiers.clone());
         for destination in tiers.into_iter().filter(|destination| *destination != cause) {
             self.apply_zone_change(now, destination, change);
-            self.watch(now, destination);
+            self.register_pending_work(now, destination);
         }
     }
 
@@ -164,14 +166,14 @@
             | AttemptOutcome::Reset
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::Abandoned => self.on_failure(now, destination, result.latency),
-            // A rejection and an error are responses of a tier that is there, though it may take no work: the delivery
-            // policy's rate limits and probes meet those.
+            // Rejections and errors come from a tier that is reachable, even if it accepts no work. The delivery policy
+            // handles them with its rate limits and probes.
             AttemptOutcome::Rejected(_)
             | AttemptOutcome::Error
             | AttemptOutcome::Unsent
             | AttemptOutcome::NotStarted => None,
         };
-        self.watch(now, destination);
+        self.register_pending_work(now, destination);
         if let Some(change) = zone_change {
             self.on_zone_change(now, destination, change);
         }
@@ -192,8 +194,8 @@
 
     fn update_gates(&mut self, now: Time) -> Vec<DestinationId> {
         let mut changed = Vec::new();
-        let mut finished = Vec::new();
-        for destination in &self.watched {
+        let mut tiers_without_pending_work = Vec::new();
+        for destination in &self.tiers_with_pending_work {
             let Some(TierIndex { partner, index }) = self.tier_indices.get(destination) else { continue };
             let Some(partner) = self.partners.get_mut(partner) else { continue };
             let tier = &mut partner.tiers[*index];
@@ -201,12 +203,12 @@
                 changed.push(*destination);
             }
             tier.stop_reassigning_unless_down();
-            if !tier.needs_attention() {
-                finished.push(*destination);
+            if !tier.has_pending_work() {
+                tiers_without_pending_work.push(*destination);
             }
         }
-        for destination in finished {
-            self.watched.remove(&destination);
+        for destination in tiers_without_pending_work {
+            self.tiers_with_pending_work.remove(&destination);
         }
         changed
     }
@@ -222,12 +224,12 @@
     }
 
     fn next_reassignment(&mut self, now: Time) -> Option<Reassignment> {
-        for destination in &self.watched {
+        for destination in &self.tiers_with_pending_work {
             let Some(TierIndex { partner, index }) = self.tier_indices.get(destination) else { continue };
             let Some(state) = self.partners.get_mut(partner) else { continue };
             let tier = &mut state.tiers[*index];
             if tier.is_down() && tier.next_reassignment.is_some_and(|at| at <= now) {
-                // As often as new messages come.
+                // Waiting messages are reassigned at the rate at which new messages arrive.
                 let gap = state.mean_submission_gap.clamp(MIN_REASSIGNMENT_GAP, state.config.down_after);
                 tier.next_reassignment = Some(now + gap);
                 return Some(Reassignment { tier: *destination, partner: *partner });
@@ -237,6 +239,9 @@
     }
 
     fn next_timeout(&self) -> Option<Time> {
-        self.watched.iter().filter_map(|destination| self.tier(*destination)?.next_timeout()).min()
+        self.tiers_with_pending_work
+            .iter()
+            .filter_map(|destination| self.tier(*destination)?.next_timeout())
+            .min()
     }
 }
--- a/crates/failover/src/recovery_gate.rs
+++ b/crates/failover/src/recovery_gate.rs
@@ -1,4 +1,4 @@
-//! The gate in front of a tier that is down or warming up: it opens only in this instance's own time slots.
+//! The recovery gate of a tier that is down or warming up. It opens only in the time slots of this instance.
 
 use crate::fleet::FleetParameters;
 use crate::policy::GateState;
@@ -6,38 +6,38 @@
 use cloverstile::Time;
 use std::time::Duration;
 
-/// How a time slot was used that is over.
+/// Whether requests were sent in a time slot that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotUse {
-    /// A request was sent in it.
+    /// At least one request was sent.
     Used,
     /// The gate was open and nothing was sent.
     Unused,
-    /// The gate was not opened in time, which says nothing of waiting work.
+    /// The gate was not opened during the slot, so whether work was waiting is unknown.
     Missed,
 }
 
-/// What an update of a gate did.
+/// The effect of [`RecoveryGate::update`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GateUpdate {
-    /// How the last time slot was used, if it is over.
+    /// How the previous time slot was used, if the update ended it.
     pub finished_slot: Option<SlotUse>,
-    /// The gate opened or closed.
+    /// Whether the gate opened or closed.
     pub changed: bool,
 }
 
-/// The recovery gate of a tier.
+/// Limits the requests of one instance to a tier by time slots.
 pub(crate) struct RecoveryGate {
     is_open: bool,
-    /// A request was sent since it opened.
+    /// Whether a request was sent in the current slot.
     is_used: bool,
-    /// The tier's load; the served rate is that of the time when the gate was set up.
+    /// Load of the tier. Its served rate stays as it was when the gate was created.
     load: TierLoad,
     slot: TimeSlot,
 }
 
 impl RecoveryGate {
-    /// A gate whose first slot is still to come; it counts as used, so that nothing counts as idle yet.
+    /// Creates a gate whose first slot ends at once. That slot counts as used, so the tier does not count as idle yet.
     pub fn new(fleet: &FleetParameters, now: Time, load: TierLoad) -> Self {
         let slot = TimeSlot { from: now, until: now, ..next_slot(fleet, now, &load) };
         RecoveryGate { is_open: true, is_used: true, load, slot }
@@ -52,13 +52,13 @@
         }
     }
 
-    /// From one slot to the next, if all are used.
+    /// Average time from the start of one slot of this instance to the start of the next if every slot is used.
     pub fn cycle(&self) -> Duration {
         self.slot.cycle
     }
 
-    /// Goes on to the next slot where the last one is over, and opens the gate if its slot has come. A gate that is no
-    /// longer needed keeps a slot that is not spent.
+    /// Advances to the next slot if the current one is over, and opens the gate if its slot has begun. A gate that is
+    /// no longer needed advances only if the requests of the current slot are used up.
     pub fn update(
         &mut self,
         fleet: &FleetParameters,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A request was sent.
+    /// Records a request sent. The slot ends with its last permitted request.
     pub fn on_request_sent(&mut self) {
         self.is_used = true;
         self.slot.requests = self.slot.requests.saturating_sub(1);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// When it opens or closes next.
+    /// When the gate opens or closes next.
     pub fn next_timeout(&self) -> Time {
         if self.is_open {
             self.slot.until
--- a/crates/failover/src/spill.rs
+++ b/crates/failover/src/spill.rs
@@ -1,45 +1,48 @@
-//! The budget that limits how many messages spill from a tier to the next one.
+//! The budget that limits how many messages spill from a tier to the next.
 
 use cloverstile::Time;
 
-/// Messages of spill that may be saved up: the share holds at every moment, not on the mean of a day.
-const MAX_SAVED: f64 = 1.0;
+/// Most messages of spill that the budget saves up. Kept small so that the share holds in every short interval, not
+/// only on average over a day.
+const MAX_SAVED_MESSAGES: f64 = 1.0;
 
-/// Spill that a tier's messages have earned and not used.
+/// Spillover that is permitted for the messages of a tier and not used yet.
 pub(crate) struct SpillBudget {
-    /// Messages that the share permits.
-    credit: f64,
-    /// Messages that the rate permits.
-    tokens: f64,
+    /// Messages that the spill share permits to spill.
+    share_credit: f64,
+    /// Messages that the spill rate permits to spill.
+    rate_tokens: f64,
     refilled_at: Time,
 }
 
 impl SpillBudget {
-    /// A budget without credit, at `now`.
+    /// Creates a budget at `now` without credit from the spill share.
     pub fn new(now: Time) -> Self {
-        SpillBudget { credit: 0.0, tokens: MAX_SAVED, refilled_at: now }
+        SpillBudget { share_credit: 0.0, rate_tokens: MAX_SAVED_MESSAGES, refilled_at: now }
     }
 
-    /// Sets the messages that the share permits at once.
-    pub fn set_credit(&mut self, credit: f64) {
-        self.credit = credit;
+    /// Sets the number of messages, a fraction included, that the spill share permits at once.
+    pub fn set_credit(&mut self, share_credit: f64) {
+        self.share_credit = share_credit;
     }
 
-    /// Whether one more message spills, of which this share may, and this many a second at most.
+    /// Counts one more message for the tier and returns whether it spills. `share` is the share of messages that may
+    /// spill, `rate` the most messages per second.
     ///
-    /// Whole messages of the share, in even steps: no window sees more than its share and one message. The fraction over
-    /// a whole one is kept: cutting it off would let a third through where 0.43 is stated.
-    pub fn take(&mut self, now: Time, share: f64, rate: Option<f64>) -> bool {
+    /// The share accumulates until it permits a whole message, so no window spills more than its share and one message.
+    /// The fraction above a whole message is kept; without it, a share of 0.43 would spill only one third.
+    pub fn try_spill(&mut self, now: Time, share: f64, rate: Option<f64>) -> bool {
         let share = share.clamp(0.0, 1.0);
-        self.credit = (self.credit + share).min(MAX_SAVED + share);
+        self.share_credit = (self.share_credit + share).min(MAX_SAVED_MESSAGES + share);
         if let Some(rate) = rate {
-            self.tokens = (self.tokens + (now - self.refilled_at).as_secs_f64() * rate).min(MAX_SAVED);
+            self.rate_tokens =
+                (self.rate_tokens + (now - self.refilled_at).as_secs_f64() * rate).min(MAX_SAVED_MESSAGES);
             self.refilled_at = now;
         }
-        let permitted = self.credit >= 1.0 && (rate.is_none() || self.tokens >= 1.0);
+        let permitted = self.share_credit >= 1.0 && (rate.is_none() || self.rate_tokens >= 1.0);
         if permitted {
-            self.credit -= 1.0;
-            self.tokens -= 1.0;
+            self.share_credit -= 1.0;
+            self.rate_tokens -= 1.0;
         }
         permitted
     }
--- a/crates/failover/src/tier.rs
+++ b/crates/failover/src/tier.rs
@@ -1,4 +1,4 @@
-//! One tier of a partner: its status, its spill and its recovery.
+//! One tier of a partner: its status, its spillover and its recovery.
 
 use crate::fleet::FleetParameters;
 use crate::policy::{TierConfig, TierStatus};
@@ -7,47 +7,48 @@
 use crate::time_slot::{ServedRate, TierLoad};
 use cloverstile::{Time, ZoneId};
 
-/// Failed requests in a row, without a response between them, after which a tier may be down: a low-traffic instance has
-/// few.
+/// Minimum number of consecutive requests without a response after which a tier may be down. Low, because an instance
+/// with little traffic sends few requests.
 const MIN_FAILED_REQUESTS: u32 = 2;
-/// A tier that goes down again while it recovers takes this many times as long to recover ...
+/// A tier that goes down while it recovers has its recovery ramp multiplied by this factor.
 const FLAP_FACTOR: u32 = 2;
-/// ... up to this many times the configured ramp.
+/// Upper limit of the recovery ramp, as a multiple of the configured one.
 const MAX_RAMP_FACTOR: u32 = 8;
-/// A gate stays while each slot finds work waiting, up to this many times the warm-up time: the backlog behind it would
-/// else be sent all at once, and by all instances at the same moment.
+/// While its slots are used, a gate stays for up to this many times the warm-up time. If it were removed earlier, all
+/// instances would send their backlog at once, at the same moment.
 const MAX_GATED_WARM_UPS: u32 = 3;
 
-/// One tier as one instance sees it.
+/// The state of one tier, as observed by one instance.
 pub(crate) struct Tier {
-    /// Its zone, where known.
+    /// Zone of the tier; `None` if unknown.
     pub zone: Option<ZoneId>,
     pub status: TierStatus,
     pub last_response: Time,
     pub gate: Option<RecoveryGate>,
     /// When the next waiting message may be reassigned.
     pub next_reassignment: Option<Time>,
-    /// Requests a second from all instances when it is warm; zero where unknown.
+    /// Requests per second that the tier can serve for all instances when it is warm; zero if unknown.
     capacity: f64,
     /// Failed requests since the last response.
     failed_requests: u32,
-    /// The last response is not one of its own: none has come yet, or it was another partner's.
+    /// Whether `last_response` is not a response of this tier: none was received yet, or it came from another partner's
+    /// tier in the zone.
     awaits_own_response: bool,
-    /// Configured ramps that it takes to recover, more after each flap.
+    /// Multiple of the configured recovery ramp that applies; it grows each time the tier flaps.
     ramp_factor: u32,
-    /// Times that it went down.
+    /// How often the tier went down.
     outages: u32,
-    spill: SpillBudget,
-    /// It responded again then, after an outage that may have left it cold.
+    spill_budget: SpillBudget,
+    /// When the tier responded again after an outage that may have left it cold.
     warming_since: Option<Time>,
-    /// What it served to this instance.
+    /// Rate at which the tier served requests of this instance.
     served: ServedRate,
-    /// Time slots pass unused since then.
+    /// Since when all time slots have ended unused.
     idle_since: Option<Time>,
 }
 
 impl Tier {
-    /// A tier that is up at `now`.
+    /// Creates a tier that is up at `now`.
     pub fn new(now: Time, zone: Option<ZoneId>, capacity: f64) -> Self {
         Tier {
             zone,
@@ -60,7 +61,7 @@
             awaits_own_response: true,
             ramp_factor: 1,
             outages: 0,
-            spill: SpillBudget::new(now),
+            spill_budget: SpillBudget::new(now),
             warming_since: None,
             served: ServedRate::default(),
             idle_since: None,
@@ -71,19 +72,22 @@
         matches!(self.status, TierStatus::Down(_))
     }
 
-    /// Without a response for so long that it may come back cold. One failed request is enough to be careful: a
-    /// low-traffic instance that waited for more would join the others' return without a slot.
+    /// Whether the tier has not responded for so long that it may be cold when it recovers. One failed request is
+    /// enough: an instance with little traffic that waited for more would send outside its time slots when all others
+    /// return.
     fn may_be_cold(&self, now: Time, fleet: &FleetParameters) -> bool {
-        self.failed_requests > 0 && self.is_silent_beyond_transient(now, fleet)
+        self.failed_requests > 0 && self.is_silent_beyond_transient_outage(now, fleet)
     }
 
-    fn is_silent_beyond_transient(&self, now: Time, fleet: &FleetParameters) -> bool {
+    /// Whether the time without a response is longer than a transient outage.
+    fn is_silent_beyond_transient_outage(&self, now: Time, fleet: &FleetParameters) -> bool {
         self.awaits_own_response || now - self.last_response > fleet.max_transient_outage
     }
 
+    /// Whether the tier may be cold or warms up. The gate stays longer while its slots are used.
     fn needs_gate(&self, now: Time, fleet: &FleetParameters) -> bool {
-        // One unused slot may be the delivery policy's own rate limit, or a message's gap. With slots rarer than that,
-        // few messages can have gathered.
+        // A single unused slot may result from the rate limit of the delivery policy or from a gap between messages, so
+        // slots must stay unused for longer. If slots are rarer than that, only a small backlog can have built up.
         let has_rare_slots = self.gate.as_ref().is_none_or(|gate| gate.cycle() > fleet.max_transient_outage);
         let is_idle =
             has_rare_slots || self.idle_since.is_some_and(|since| now - since >= fleet.max_transient_outage);
@@ -92,7 +96,7 @@
             || self.warming_since.is_some_and(|since| now < since + fleet.warm_up_time * warm_ups)
     }
 
-    /// Whether one more message for this tier goes on to the next one.
+    /// Counts one more message for this tier and returns whether it spills to the next one.
     pub fn spills(&mut self, now: Time, config: &TierConfig) -> bool {
         let share = match self.status {
             TierStatus::Up => return false,
@@ -101,22 +105,22 @@
                 let ramp = (config.recovery_ramp * self.ramp_factor).as_secs_f64().max(0.001);
                 let elapsed = (now - since).as_secs_f64() / ramp;
                 if elapsed >= 1.0 {
-                    self.set_up();
+                    self.mark_up();
                     return false;
                 }
                 config.spill_share * (1.0 - elapsed)
             }
         };
-        self.spill.take(now, share, config.spill_rate)
+        self.spill_budget.try_spill(now, share, config.spill_rate)
     }
 
-    fn set_up(&mut self) {
+    fn mark_up(&mut self) {
         self.status = TierStatus::Up;
         self.ramp_factor = 1;
-        self.spill.set_credit(0.0);
+        self.spill_budget.set_credit(0.0);
     }
 
-    /// It responded.
+    /// Records a response of the tier.
     pub fn on_response(&mut self, now: Time, fleet: &FleetParameters, config: &TierConfig) {
         if self.may_be_cold(now, fleet) {
             self.warming_since = Some(now);
@@ -128,18 +132,18 @@
         match self.status {
             TierStatus::Down(_) => self.status = TierStatus::Recovering(now),
             TierStatus::Recovering(since) if now - since >= config.recovery_ramp * self.ramp_factor => {
-                self.set_up();
+                self.mark_up();
             }
             TierStatus::Up | TierStatus::Recovering(_) => {}
         }
     }
 
-    /// It served one request of this instance.
+    /// Records that the tier served one request of this instance.
     pub fn on_served(&mut self, now: Time, fleet: &FleetParameters) {
         self.served.add(now, 1.0, fleet.warm_up_time);
     }
 
-    /// A request to it failed without a response; `salt` differs between partners.
+    /// Records a request that failed without a response. `salt` differs between partners.
     pub fn on_failure(&mut self, now: Time, fleet: &FleetParameters, config: &TierConfig, salt: u64) {
         self.failed_requests += 1;
         let is_silent = self.awaits_own_response || now - self.last_response >= config.down_after;
@@ -148,10 +152,12 @@
         }
         match self.status {
             TierStatus::Down(_) => return,
-            // An instance with one message must spill it or not; without any credit to start with, no low-traffic one
-            // would ever spill. So each starts at a phase of its own, and all together come to the share.
-            TierStatus::Up => self.spill.set_credit(fleet.phase(salt + u64::from(self.outages))),
-            // Guards against flapping: a tier that answers its probes but not its load would be trusted again and again.
+            // An instance with a single message either spills it or does not. Without initial credit, no instance with
+            // little traffic would ever spill. Each starts with a different credit, so that all together spill the
+            // share.
+            TierStatus::Up => self.spill_budget.set_credit(fleet.phase(salt + u64::from(self.outages))),
+            // Guards against flapping: a tier that responds to probes but fails under load would otherwise get its full
+            // load back again and again.
             TierStatus::Recovering(_) => {
                 self.ramp_factor = (self.ramp_factor * FLAP_FACTOR).min(MAX_RAMP_FACTOR);
             }
@@ -161,24 +167,25 @@
         self.outages += 1;
     }
 
-    /// Another partner's tier in the same zone responded after an outage of the zone.
+    /// Starts the recovery of a tier that is down when another partner's tier in its zone has responded after an outage
+    /// of the zone.
     pub fn on_zone_recovered(&mut self, now: Time, fleet: &FleetParameters, config: &TierConfig) {
         if self.is_down() {
             self.on_response(now, fleet, config);
-            // This tier may still be without a response of its own.
+            // The response came from another tier; this one may still be down.
             self.awaits_own_response = true;
         }
     }
 
-    /// The whole zone is down. A tier that responded a moment ago is not concerned.
+    /// Takes the tier down because its whole zone is down, unless it responded a moment ago.
     pub fn on_zone_down(&mut self, now: Time, fleet: &FleetParameters, config: &TierConfig, salt: u64) {
-        if self.is_silent_beyond_transient(now, fleet) {
+        if self.is_silent_beyond_transient_outage(now, fleet) {
             self.failed_requests = self.failed_requests.max(MIN_FAILED_REQUESTS - 1);
             self.on_failure(now, fleet, config, salt);
         }
     }
 
-    /// Gives it a recovery gate if it needs one and has none.
+    /// Adds a recovery gate if the tier needs one, has none and its capacity is known.
     pub fn add_gate_if_needed(&mut self, now: Time, fleet: &FleetParameters) {
         if self.gate.is_none() && self.capacity > 0.0 && self.needs_gate(now, fleet) {
             let load = TierLoad {
@@ -190,7 +197,7 @@
         }
     }
 
-    /// Opens, closes or removes its recovery gate; true if it did one of these.
+    /// Opens, closes or removes the recovery gate as needed; returns whether anything changed.
     pub fn update_gate(&mut self, now: Time, fleet: &FleetParameters) -> bool {
         let is_needed = self.needs_gate(now, fleet);
         let capacity_share = fleet.capacity_share(now, self.warming_since);
@@ -207,19 +214,19 @@
         update.changed || !is_needed
     }
 
-    /// Forgets the next reassignment once the tier is no longer down.
+    /// Cancels the next reassignment if the tier is not down.
     pub fn stop_reassigning_unless_down(&mut self) {
         if !self.is_down() {
             self.next_reassignment = None;
         }
     }
 
-    /// Whether it has a gate or waiting messages to reassign.
-    pub fn needs_attention(&self) -> bool {
+    /// Whether the tier has a recovery gate or waiting messages to reassign.
+    pub fn has_pending_work(&self) -> bool {
         self.gate.is_some() || self.next_reassignment.is_some()
     }
 
-    /// When its gate opens or closes, or a message may be reassigned.
+    /// When the gate opens or closes next or a message may be reassigned, whichever is earlier.
     pub fn next_timeout(&self) -> Option<Time> {
         let gate = self.gate.as_ref().map(RecoveryGate::next_timeout);
         [gate, self.next_reassignment].into_iter().flatten().min()
--- a/crates/failover/src/time_slot.rs
+++ b/crates/failover/src/time_slot.rs
@@ -1,13 +1,13 @@
-//! Time slots in which one gateway instance may send to a tier that recovers.
+//! Time slots in which one gateway instance may send to a recovering tier.
 //!
-//! Instances share nothing, yet what all of them send to a recovering tier must stay inside its capacity, in every short
-//! interval and not only on the mean. So time is cut into slots, one for each request that the tier can take when it is
-//! warm, and the slots are assigned to the instances by their index: an instance outside its slot waits. A cold tier's
-//! slots are used in part: each instance lets some of its own pass, at a phase that goes by its index, so that the used
-//! ones lie evenly.
+//! Instances share no state, yet the requests that all of them send to a recovering tier must stay within its capacity
+//! in every short interval, not only on average. Time is therefore divided into slots, one for each request that the
+//! warm tier can serve, and the slots are assigned to the instances by index. An instance waits outside its slots.
+//! While the tier is cold, only some slots are used: each instance skips some of its own, at a phase that depends on
+//! its index, so that the used slots are spread evenly.
 //!
-//! Load is not even, and an instance that had more than its fair share of what the tier served may keep to that rate
-//! instead: what all had served adds up to no more than the tier's capacity.
+//! Load is uneven across instances. An instance that was served more than its fair share may keep its own rate instead:
+//! the rates at which the tier served all instances add up to no more than its capacity.
 
 use crate::fleet::FleetParameters;
 use cloverstile::Time;
@@ -16,47 +16,49 @@
 #[cfg(test)]
 mod tests;
 
-/// Least distance of an instance's own slots: timers are no finer. Where slots would come faster, each holds more.
+/// Minimum time between two slots of an instance, because timers are no finer. If slots would come faster, each permits
+/// more requests instead.
 const MIN_CYCLE: Duration = Duration::from_millis(10);
-/// A slot lasts at least so long: an event loop wakes a little late.
+/// Minimum length of a slot, because an event loop wakes up slightly late.
 const MIN_SLOT_LENGTH: Duration = Duration::from_millis(4);
-/// Once the tier is warm, an instance may send at this many times the rate that it was served at, so that the backlog
+/// Once the tier is warm, an instance may send at this multiple of the rate at which it was served, so that its backlog
 /// drains.
 const CATCH_UP_FACTOR: f64 = 1.5;
-/// Least share of a tier's capacity that slots are computed with.
+/// Lower limit of the capacity share from which slots are computed.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
-/// Least time over which a served rate is averaged, in seconds.
+/// Minimum time, in seconds, over which a served rate is averaged.
 const MIN_AVERAGING_SECONDS: f64 = 0.1;
-/// Where in its cycle an instance's slot begins when it keeps to its own rate: half a cycle and up to half a cycle more.
+/// Earliest start of a slot within its cycle, as a fraction of the cycle, for an instance that keeps its own rate. The
+/// slot starts up to the same fraction later, depending on the instance.
 const OWN_SLOT_PHASE: f64 = 0.5;
-/// Part of its cycle for which such a slot is open.
+/// Length of such a slot, as a fraction of its cycle.
 const OWN_SLOT_LENGTH: f64 = 0.5;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// An interval in which an instance may send some requests.
+/// A time interval in which an instance may send a limited number of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimeSlot {
     pub from: Time,
-    /// The first moment after it.
+    /// End of the slot, exclusive.
     pub until: Time,
-    /// Requests that may still be sent in it.
+    /// Requests that may still be sent in the slot.
     pub requests: u32,
-    /// From its beginning to that of the next slot, if all are used.
+    /// Average time from the start of this slot to the start of the next if every slot is used.
     pub cycle: Duration,
 }
 
-/// What a tier can take, and what part of it this instance had.
+/// The capacity of a tier and the part of it that this instance used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TierLoad {
-    /// Requests a second from all instances when the tier is warm.
+    /// Requests per second that the tier can serve for all instances when it is warm.
     pub capacity: f64,
-    /// Share of the capacity that it has now, from 0 to 1.
+    /// Share of the capacity that the tier has now, from 0 to 1.
     pub capacity_share: f64,
-    /// Requests a second of this instance that it served before.
+    /// Requests per second of this instance that the tier served before its recovery gate was created.
     pub served_rate: f64,
 }
 
-/// Requests a second of this instance that were served, as an exponentially decaying mean.
+/// Rate at which requests of this instance were served, as an exponentially decaying mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServedRate {
     count: f64,
@@ -64,7 +66,7 @@
 }
 
 impl ServedRate {
-    /// Adds served requests and returns the rate over about the time `window`.
+    /// Adds served requests and returns the rate per second, averaged over roughly `window`.
     pub fn add(&mut self, now: Time, requests: f64, window: Duration) -> f64 {
         let window = window.as_secs_f64().max(MIN_AVERAGING_SECONDS);
         let decay = (-(now - self.updated_at).as_secs_f64() / window).exp();
@@ -74,7 +76,8 @@
     }
 }
 
-/// This instance's next slot that begins after `after`.
+/// Returns the next slot of this instance after `after`. The instance keeps its own rate if that is above its fair
+/// share of the capacity.
 pub(crate) fn next_slot(fleet: &FleetParameters, after: Time, load: &TierLoad) -> TimeSlot {
     let catch_up = if load.capacity_share >= 1.0 { CATCH_UP_FACTOR } else { 1.0 };
     let own_rate = load.served_rate * catch_up;
@@ -85,22 +88,22 @@
     }
 }
 
-/// The next slot of an instance that keeps to its own rate, in requests a second.
+/// Returns the next slot of an instance that keeps `own_rate`, in requests per second, times the capacity share.
 fn next_own_slot(fleet: &FleetParameters, after: Time, own_rate: f64, capacity_share: f64) -> TimeSlot {
     let requests = (own_rate * MIN_CYCLE.as_secs_f64()).ceil().max(1.0);
     let cycle =
         Duration::from_secs_f64(requests / (own_rate * capacity_share.clamp(MIN_CAPACITY_SHARE, 1.0)));
-    // Not in step with the other instances: the first slot comes at a phase that goes by the instance's index.
+    // The phase depends on the instance's index, so that instances do not send in step with each other.
     let phase = OWN_SLOT_PHASE + OWN_SLOT_PHASE * fleet.phase(after.0 / NANOS_PER_SECOND);
     let from = after + cycle.mul_f64(phase);
     TimeSlot { from, until: from + cycle.mul_f64(OWN_SLOT_LENGTH), requests: requests as u32, cycle }
 }
 
-/// The next of this instance's slots among those of the whole fleet, at a tier with this capacity, in requests a second,
-/// and this share of it.
+/// Returns the next of the fleet's slots that is assigned to this instance, for a tier with `capacity` in requests per
+/// second of which the share `capacity_share` is available.
 fn next_shared_slot(fleet: &FleetParameters, after: Time, capacity: f64, capacity_share: f64) -> TimeSlot {
     let instances = f64::from(fleet.instance_count.max(1));
-    // One request in a slot, or as many as are needed for slots that timers can keep.
+    // One request per slot, or as many as keep an instance's slots at least `MIN_CYCLE` apart.
     let requests = (capacity * MIN_CYCLE.as_secs_f64() / instances).ceil().max(1.0);
     let length = requests / capacity;
     let cycle = length * instances;
@@ -109,7 +112,7 @@
     let mut round = ((clock - offset) / cycle).floor() + 1.0;
     let phase = fleet.phase(0);
     let share = capacity_share.clamp(MIN_CAPACITY_SHARE, 1.0);
-    // Ends: at least one of `1 / MIN_CAPACITY_SHARE` rounds is used.
+    // The loop below ends because at least one of `1 / MIN_CAPACITY_SHARE` consecutive rounds is used.
     let is_used = |round: f64| ((round + 1.0) * share + phase).floor() > (round * share + phase).floor();
     while !is_used(round) {
         round += 1.0;
--- a/crates/failover/src/zone_outage.rs
+++ b/crates/failover/src/zone_outage.rs
@@ -1,22 +1,22 @@
-//! Detects the outage of a whole zone, from the requests to all partners that have a site there.
+//! Detects the outage of a whole zone from requests to the sites of all partners in the zone.
 //!
-//! A low-traffic instance has few requests for any one site, often none in a whole outage. What it sees of other
-//! partners' sites in the same zone reveals the outage in time.
+//! An instance with little traffic sends few requests to any single site, often none during an outage. Requests to
+//! other partners' sites in the same zone reveal the outage in time.
 
 use cloverstile::{DestinationId, Time};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Partners whose requests must fail, with no response from the zone between them: one alone may have an outage of its
-/// own.
+/// Minimum number of partners whose requests fail, without a response from the zone in between, before the zone is
+/// down. A single partner may have an outage of its own.
 const MIN_FAILING_PARTNERS: usize = 2;
-/// ... and failed requests in all.
+/// Minimum number of failed requests, over all partners, without a response from the zone in between.
 const MIN_FAILED_REQUESTS: u32 = 3;
 
-/// A zone as one instance sees it.
+/// The state of a zone, as observed by one instance.
 #[derive(Default)]
 pub(crate) struct ZoneOutageDetector {
-    /// The tiers in the zone.
+    /// The tiers of all partners in the zone; a change of the zone's status applies to each of them.
     pub tiers: Vec<DestinationId>,
     last_response: Option<Time>,
     /// Failed requests since the last response.
@@ -26,7 +26,8 @@
 }
 
 impl ZoneOutageDetector {
-    /// A request to a site in the zone, sent at `sent_at`, failed; true if the zone is down from now on.
+    /// Records that a request to a site in the zone, sent at `sent_at`, failed; returns whether the zone goes down. A
+    /// request sent before the last response is ignored.
     pub fn on_failure(
         &mut self,
         now: Time,
@@ -48,7 +49,7 @@
         goes_down
     }
 
-    /// A site in the zone responded; true if the zone was down.
+    /// Records a response from a site in the zone; returns whether the zone was down.
     pub fn on_response(&mut self, now: Time) -> bool {
         self.last_response = Some(now);
         self.failed_requests = 0;
