--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -385,7 +385,7 @@
             }
         }
         self.update_endpoints();
-        info!("settings reloaded: endpoints and rates; any other change needs a restart");
+        info!("settings reloaded: endpoints and rates; all else needs a restart");
     }
 
     // ---- Shutdown ----
--- a/crates/net/src/connecting.rs
+++ b/crates/net/src/connecting.rs
@@ -27,11 +27,11 @@
         match start_connect(address) {
             Ok(stream) => self.register(id, Rc::new(stream), ConnectionState::Connecting, None),
             Err(error) if is_peer_connect_error(&error) => {
-                debug!(connection = id.0, %address, %error, "connect failed at once");
+                debug!(connection = id.0, %address, %error, "connection refused");
                 self.pending_events.push(NetEvent::ConnectFailed(id, error.kind()));
             }
             Err(error) => {
-                debug!(connection = id.0, %address, %error, "connection cannot be started, retrying");
+                debug!(connection = id.0, %address, %error, "connection can't be started, tried again");
                 self.retries.connects.insert(id, address);
                 self.retries.schedule();
             }
@@ -47,7 +47,7 @@
         listener: Option<ListenerId>,
     ) {
         if let Err(error) = self.insert_source(id, &stream, state) {
-            debug!(connection = id.0, %error, "connection cannot be registered, retrying");
+            debug!(connection = id.0, %error, "connection can't be registered, tried again");
             self.retries.registrations.insert(id, UnregisteredStream { stream, state, listener });
             return self.retries.schedule();
         }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -147,7 +147,7 @@
         if self.nodelay_pending {
             match self.stream.set_nodelay(true) {
                 Ok(()) => self.nodelay_pending = false,
-                Err(error) => debug!(%error, "TCP_NODELAY cannot be set, retrying with the next write"),
+                Err(error) => debug!(%error, "TCP_NODELAY can't be set, tried again with the next write"),
             }
         }
     }
--- a/crates/net/src/listening.rs
+++ b/crates/net/src/listening.rs
@@ -77,7 +77,7 @@
             let Some(listener) = self.listeners.get_mut(&id) else { continue };
             match self.handle.enable(&listener.token) {
                 Ok(()) => listener.paused = false,
-                Err(error) => debug!(%error, "listener cannot be resumed, retrying"),
+                Err(error) => debug!(%error, "listener can't be resumed, tried again"),
             }
             if listener.closing {
                 self.accept(id);
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -226,7 +226,7 @@
         let interest = connection.interest();
         connection.source.as_source_mut().interest = interest;
         if let Err(error) = self.handle.update(&connection.token) {
-            debug!(connection = id.0, %error, "event source cannot be updated, retrying");
+            debug!(connection = id.0, %error, "event source can't be changed, tried again");
             self.retries.interest_updates.insert(id);
             self.retries.schedule();
         }
@@ -322,7 +322,7 @@
         match self.event_loop.dispatch(timeout, ready_list) {
             Ok(()) => self.consecutive_wait_failures = 0,
             Err(error) => {
-                warn!(%error, "event loop wait failed, retrying");
+                warn!(%error, "event loop failed to wait, tried again");
                 self.consecutive_wait_failures += 1;
                 if self.consecutive_wait_failures > MAX_CONSECUTIVE_WAIT_FAILURES {
                     return Err(to_io_error(error));
