--- a/crates/simulator/src/load_balance/baseline_client.rs
+++ b/crates/simulator/src/load_balance/baseline_client.rs
@@ -49,12 +49,12 @@
 /// Settings of a baseline client.
 #[derive(Clone, Copy, Debug)]
 pub struct BaselineSettings {
-    pub number: usize,
+    pub instance: usize,
     pub instances: usize,
-    pub choice: EndpointSelection,
+    pub selection: EndpointSelection,
     pub limiter: Limiter,
-    pub slots: usize,
-    pub held: usize,
+    pub concurrency_limit: usize,
+    pub max_held: usize,
 }
 
 /// An action of a baseline client.
@@ -125,7 +125,7 @@
     }
 
     /// Updates the endpoints of each partner that accept requests, and each partner's advertised limit.
-    pub fn list(&mut self, lists: Vec<(Vec<usize>, Option<f64>)>) {
+    pub fn update_endpoints(&mut self, lists: Vec<(Vec<usize>, Option<f64>)>) {
         self.partners.resize_with(lists.len(), Partner::default);
         let even = 1.0 / self.settings.instances.max(1) as f64;
         for (partner, (endpoints, rate)) in self.partners.iter_mut().zip(lists) {
@@ -140,8 +140,8 @@
     }
 
     /// Takes a message; false if as many are held as may be.
-    pub fn take(&mut self, message: u32, partner: usize, deadline: Duration, repeatable: bool) -> bool {
-        if self.messages.len() >= self.settings.held {
+    pub fn submit(&mut self, message: u32, partner: usize, deadline: Duration, repeatable: bool) -> bool {
+        if self.messages.len() >= self.settings.max_held {
             return false;
         }
         let waiting =
@@ -170,7 +170,7 @@
 
     /// An attempt completed: delivered, rejected (with its `Retry-After`, if any), or of unknown outcome. True if
     /// this completes the message.
-    pub fn ended(
+    pub fn on_attempt_completed(
         &mut self,
         now: Duration,
         message: u32,
@@ -191,7 +191,7 @@
                 self.forget(message);
                 return true;
             }
-            AttemptResult::Refused(wait) => {
+            AttemptResult::Rejected(wait) => {
                 partner.wait = partner.wait.max(now + wait.unwrap_or_default());
                 if self.settings.limiter == Limiter::Aimd {
                     partner.rate = (partner.rate.min(1e6) / 2.0).max(0.05);
@@ -206,9 +206,9 @@
     }
 
     /// A probe came back.
-    pub fn probed(&mut self, now: Duration, endpoint: usize, in_hand: f64) {
+    pub fn on_probe_completed(&mut self, now: Duration, endpoint: usize, in_flight: f64) {
         let latency = self.known.entry(endpoint).or_default().latency;
-        self.probe_pool.add(now, endpoint, in_hand, latency);
+        self.probe_pool.add(now, endpoint, in_flight, latency);
     }
 
     /// All that can be done now, and when to ask again.
@@ -232,7 +232,7 @@
             .map(|(message, _)| *message)
             .collect();
         for message in slow {
-            self.ended(now, message, AttemptResult::Unknown, None);
+            self.on_attempt_completed(now, message, AttemptResult::Unknown, None);
         }
         while let Some(&(at, message)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, message));
@@ -244,7 +244,7 @@
         let mut earlier = |at: Duration| next = Some(next.map_or(at, |next| next.min(at)));
         let count = self.partners.len();
         for place in (0..count).map(|place| (place + self.first) % count.max(1)).collect::<Vec<_>>() {
-            while self.out < self.settings.slots && !self.partners[place].queue.is_empty() {
+            while self.out < self.settings.concurrency_limit && !self.partners[place].queue.is_empty() {
                 if let Err(at) = self.permitted(now, place) {
                     if let Some(at) = at {
                         earlier(at);
@@ -316,9 +316,9 @@
         if endpoints.is_empty() {
             return None;
         }
-        let instance = InstancePosition { number: settings.number, instances: settings.instances };
+        let instance = InstancePosition { index: settings.instance, count: settings.instances };
         let mut selection = Selection { rng, endpoints, states: known, position, instance };
-        match settings.choice {
+        match settings.selection {
             EndpointSelection::Random => Some(selection.random()),
             EndpointSelection::RoundRobin => Some(selection.round_robin(selection.endpoints)),
             EndpointSelection::LeastInFlight => selection.least_in_flight(),
@@ -347,7 +347,7 @@
     /// Delivered.
     Delivered,
     /// It has not run; the `Retry-After`, if any.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// It may have run.
     Unknown,
 }
--- a/crates/simulator/src/load_balance/scenario.rs
+++ b/crates/simulator/src/load_balance/scenario.rs
@@ -22,29 +22,29 @@
     #[serde(default)]
     pub skew: f64,
     /// Share of all messages that the first instance gets beside its part.
-    #[serde(default)]
-    pub hot: f64,
+    #[serde(default, rename = "hot")]
+    pub hot_instance_share: f64,
     /// Concurrency limit of an instance, in requests in flight.
-    #[serde(default = "call_slots")]
-    pub call_slots: usize,
+    #[serde(default = "default_concurrency_limit", rename = "call_slots")]
+    pub concurrency_limit: usize,
     /// Most messages that an instance queues.
-    #[serde(default = "most_held")]
-    pub most_held: usize,
+    #[serde(default = "default_max_queued", rename = "most_held")]
+    pub max_queued: usize,
     /// One-way network delay: its least value and the mean of its random part, in milliseconds.
-    #[serde(default = "network_delay_ms", rename = "way_ms")]
+    #[serde(default = "default_network_delay_ms", rename = "way_ms")]
     pub network_delay_ms: [f64; 2],
     /// A new connection takes so much longer, in milliseconds.
-    #[serde(default = "connect")]
+    #[serde(default = "default_connect_ms")]
     pub connect_ms: f64,
     /// An idle connection is closed after so long.
-    #[serde(default = "conn_idle")]
-    pub conn_idle: f64,
+    #[serde(default = "default_connection_idle_timeout", rename = "conn_idle")]
+    pub connection_idle_timeout: f64,
     /// Most age of the reports of limits and load, in milliseconds.
-    #[serde(default = "report")]
-    pub report_ms: f64,
+    #[serde(default = "default_report_interval_ms", rename = "report_ms")]
+    pub report_interval_ms: f64,
     /// Length of the windows in which balance is measured.
-    #[serde(default = "window")]
-    pub window: f64,
+    #[serde(default = "default_balance_window", rename = "window")]
+    pub balance_window: f64,
     /// Class blocks, by name.
     pub class: BTreeMap<String, ClassSpec>,
     /// Partner blocks, by name.
@@ -58,31 +58,31 @@
     pub rules: RuleSpec,
 }
 
-fn call_slots() -> usize {
+fn default_concurrency_limit() -> usize {
     6
 }
 
-fn most_held() -> usize {
+fn default_max_queued() -> usize {
     24
 }
 
-fn network_delay_ms() -> [f64; 2] {
+fn default_network_delay_ms() -> [f64; 2] {
     [0.4, 0.4]
 }
 
-fn connect() -> f64 {
+fn default_connect_ms() -> f64 {
     5.0
 }
 
-fn conn_idle() -> f64 {
+fn default_connection_idle_timeout() -> f64 {
     10.0
 }
 
-fn report() -> f64 {
+fn default_report_interval_ms() -> f64 {
     500.0
 }
 
-fn window() -> f64 {
+fn default_balance_window() -> f64 {
     10.0
 }
 
@@ -91,7 +91,7 @@
 #[serde(deny_unknown_fields)]
 pub struct PartnerSpec {
     /// Number of equal ones.
-    #[serde(default = "one_partner")]
+    #[serde(default = "default_copies")]
     pub copies: usize,
     /// Share of the messages, of all copies together.
     pub share: f64,
@@ -99,54 +99,54 @@
     pub endpoints: usize,
     /// Range of its endpoints' capacity factors, drawn uniformly on a logarithmic scale: a factor of two has
     /// twice the servers.
-    #[serde(default = "alike")]
-    pub pace: [f64; 2],
+    #[serde(default = "default_capacity_factors", rename = "pace")]
+    pub capacity_factors: [f64; 2],
     /// Each endpoint has a limit of its own, by its capacity factor, that the endpoint list states.
-    #[serde(default)]
-    pub apart: bool,
+    #[serde(default, rename = "apart")]
+    pub limit_per_endpoint: bool,
     /// Requests that an endpoint of capacity factor 1 serves concurrently.
-    #[serde(default = "servers")]
+    #[serde(default = "default_servers")]
     pub servers: usize,
     /// Calls that may wait at an endpoint.
-    #[serde(default = "queue")]
+    #[serde(default = "default_queue")]
     pub queue: usize,
     /// Service time: its least value and the mean of its random part, in milliseconds.
-    #[serde(default = "service")]
+    #[serde(default = "default_service_ms")]
     pub service_ms: [f64; 2],
     /// Calls a second that it takes from all instances together (where apart, all endpoints together).
     #[serde(default)]
     pub limit: Option<f64>,
     /// The limit is a count in each span of so many seconds; left out, a baseline rate.
-    #[serde(default)]
-    pub span: Option<f64>,
+    #[serde(default, rename = "span")]
+    pub limit_window: Option<f64>,
     /// Refused calls use the limit up.
-    #[serde(default)]
-    pub refused_count: bool,
+    #[serde(default, rename = "refused_count")]
+    pub counts_rejected: bool,
     /// Rejections carry a `Retry-After`.
-    #[serde(default)]
-    pub tells_wait: bool,
+    #[serde(default, rename = "tells_wait")]
+    pub sends_retry_after: bool,
     /// Responses do not advertise the limit.
-    #[serde(default)]
-    pub silent: bool,
+    #[serde(default, rename = "silent")]
+    pub hides_limit: bool,
 }
 
-fn one_partner() -> usize {
+fn default_copies() -> usize {
     1
 }
 
-fn alike() -> [f64; 2] {
+fn default_capacity_factors() -> [f64; 2] {
     [1.0, 1.0]
 }
 
-fn servers() -> usize {
+fn default_servers() -> usize {
     4
 }
 
-fn queue() -> usize {
+fn default_queue() -> usize {
     20
 }
 
-fn service() -> [f64; 2] {
+fn default_service_ms() -> [f64; 2] {
     [10.0, 20.0]
 }
 
@@ -159,23 +159,23 @@
     /// Beginning.
     pub at: f64,
     /// How long it lasts; of `replace`, how far the instances' hearing of it is spread.
-    #[serde(default = "one")]
-    pub lasts: f64,
+    #[serde(default = "one", rename = "lasts")]
+    pub duration: f64,
     /// Partners affected; all copies together. None: all.
     #[serde(default)]
     pub partner: Option<String>,
     /// A factor, or a share of the endpoints or instances.
-    #[serde(default = "one")]
-    pub size: f64,
+    #[serde(default = "one", rename = "size")]
+    pub magnitude: f64,
 }
 
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadBalanceFault {
     /// Traffic of all, or for one partner, is multiplied.
-    Burst,
+    TrafficBurst,
     /// Limits are multiplied.
-    Limit,
+    LimitChange,
     /// This share of each partner's endpoints answers errors at once.
     Errors,
     /// This share says nothing; cold afterwards.
@@ -183,28 +183,28 @@
     /// This share takes three times as long.
     Slow,
     /// The first endpoint of each partner is reached half a second later by this share of the instances.
-    SlowFor,
+    SlowPath,
     /// Reports of load and limits are frozen.
-    Still,
+    FrozenReports,
     /// This share is replaced by cold ones.
-    Replace,
+    EndpointReplacement,
     /// This share of the instances is lost and starts again.
-    Restart,
+    InstanceRestart,
 }
 
 impl LoadBalanceFaultSpec {
     /// Its kind; none if the kind is not known.
     pub fn fault_kind(&self) -> Option<LoadBalanceFault> {
         Some(match self.kind.as_str() {
-            "burst" => LoadBalanceFault::Burst,
-            "limit" => LoadBalanceFault::Limit,
+            "burst" => LoadBalanceFault::TrafficBurst,
+            "limit" => LoadBalanceFault::LimitChange,
             "errors" => LoadBalanceFault::Errors,
             "silent" => LoadBalanceFault::Silent,
             "slow" => LoadBalanceFault::Slow,
-            "slow-for" => LoadBalanceFault::SlowFor,
-            "still" => LoadBalanceFault::Still,
-            "replace" => LoadBalanceFault::Replace,
-            "restart" => LoadBalanceFault::Restart,
+            "slow-for" => LoadBalanceFault::SlowPath,
+            "still" => LoadBalanceFault::FrozenReports,
+            "replace" => LoadBalanceFault::EndpointReplacement,
+            "restart" => LoadBalanceFault::InstanceRestart,
             _ => return None,
         })
     }
@@ -217,7 +217,7 @@
 pub fn read_load_balance_scenario(text: &str) -> Result<LoadBalanceScenario, ScenarioError> {
     let scenario: LoadBalanceScenario =
         hcl::from_str(text).map_err(|error| ScenarioError::Read(error.to_string()))?;
-    scenario.check()?;
+    scenario.validate()?;
     Ok(scenario)
 }
 
@@ -226,13 +226,14 @@
     ///
     /// # Errors
     /// If a block has a missing reference or a value that is not allowed.
-    pub fn check(&self) -> Result<(), ScenarioError> {
+    pub fn validate(&self) -> Result<(), ScenarioError> {
         let wrong = |block: &'static str, name: &str, what: &str| ScenarioError::Block {
             block,
             name: name.to_owned(),
             what: what.to_owned(),
         };
-        for (name, value) in [("seconds", self.seconds), ("rate", self.rate), ("window", self.window)] {
+        for (name, value) in [("seconds", self.seconds), ("rate", self.rate), ("window", self.balance_window)]
+        {
             if !(value > 0.0 && value.is_finite()) {
                 return Err(ScenarioError::Read(format!("{name} must be above zero")));
             }
@@ -240,7 +241,7 @@
         if self.instances == 0 || self.class.is_empty() || self.partner.is_empty() {
             return Err(ScenarioError::Read("there must be an instance, a class and a partner".into()));
         }
-        if !(0.0..1.0).contains(&self.hot) {
+        if !(0.0..1.0).contains(&self.hot_instance_share) {
             return Err(ScenarioError::Read("hot must be from 0 to below 1".into()));
         }
         for (name, class) in &self.class {
@@ -256,10 +257,14 @@
             if partner.endpoints == 0 || partner.copies == 0 || partner.servers == 0 {
                 return Err(wrong("partner", name, "copies, endpoints and servers must be above zero"));
             }
-            if !(partner.pace[0] > 0.0 && partner.pace[1] >= partner.pace[0]) {
+            if !(partner.capacity_factors[0] > 0.0
+                && partner.capacity_factors[1] >= partner.capacity_factors[0])
+            {
                 return Err(wrong("partner", name, "pace must be two numbers above zero, the least first"));
             }
-            if partner.limit.is_some_and(|limit| limit <= 0.0) || (partner.apart && partner.limit.is_none()) {
+            if partner.limit.is_some_and(|limit| limit <= 0.0)
+                || (partner.limit_per_endpoint && partner.limit.is_none())
+            {
                 return Err(wrong("partner", name, "limit must be above zero, and be there where apart"));
             }
         }
@@ -297,8 +302,9 @@
     pub fn instance_loads(&self) -> Vec<f64> {
         let loads: Vec<f64> = (0..self.instances).map(|n| ((n + 1) as f64).powf(-self.skew)).collect();
         let all: f64 = loads.iter().sum();
-        let own =
-            |(n, load): (usize, &f64)| load / all * (1.0 - self.hot) + if n == 0 { self.hot } else { 0.0 };
+        let own = |(n, load): (usize, &f64)| {
+            load / all * (1.0 - self.hot_instance_share) + if n == 0 { self.hot_instance_share } else { 0.0 }
+        };
         loads.iter().enumerate().map(own).collect()
     }
 
@@ -323,9 +329,9 @@
     }
 
     /// The server profile of an endpoint of this capacity factor; without the limit of its partner.
-    pub fn nature(&self, partner: &PartnerSpec, pace: f64) -> ServerProfile {
+    pub fn server_profile(&self, partner: &PartnerSpec, capacity_factor: f64) -> ServerProfile {
         ServerProfile {
-            servers: ((partner.servers as f64 * pace).round() as usize).max(1),
+            servers: ((partner.servers as f64 * capacity_factor).round() as usize).max(1),
             queue: partner.queue,
             min_service_time: span(partner.service_ms[0] / 1e3),
             mean_extra_service_time: span(partner.service_ms[1] / 1e3),
@@ -340,14 +346,14 @@
     }
 
     /// Settings of a partner's limit of so many calls a second.
-    pub fn terms(&self, partner: &PartnerSpec, rate: f64) -> LimitSettings {
+    pub fn limit_settings(&self, partner: &PartnerSpec, rate: f64) -> LimitSettings {
         LimitSettings {
             rate,
             kind: partner
-                .span
+                .limit_window
                 .map_or(LimitKind::TokenBucket, |seconds| LimitKind::FixedWindow(span(seconds))),
-            counts_rejected: partner.refused_count,
-            refresh: span(self.report_ms / 1e3),
+            counts_rejected: partner.counts_rejected,
+            refresh: span(self.report_interval_ms / 1e3),
         }
     }
 }
--- a/crates/simulator/src/load_balance/selection.rs
+++ b/crates/simulator/src/load_balance/selection.rs
@@ -127,8 +127,8 @@
 /// The instance that selects, among all of them.
 #[derive(Clone, Copy)]
 pub(super) struct InstancePosition {
-    pub(super) number: usize,
-    pub(super) instances: usize,
+    pub(super) index: usize,
+    pub(super) count: usize,
 }
 
 /// One selection among the endpoints of a partner; there is at least one.
@@ -179,7 +179,7 @@
 
     /// Fewest requests in flight by the last load report; a random one of equals.
     pub(super) fn least_reported(&mut self) -> usize {
-        let reported = |endpoint: usize| self.load(endpoint).in_hand;
+        let reported = |endpoint: usize| self.load(endpoint).in_flight;
         let least = self.endpoints.iter().map(|endpoint| reported(*endpoint)).fold(f64::INFINITY, f64::min);
         let equal: Vec<usize> =
             self.endpoints.iter().copied().filter(|endpoint| reported(*endpoint) <= least).collect();
@@ -190,7 +190,7 @@
     /// shuffled by its number.
     pub(super) fn subset(&self) -> Vec<usize> {
         let parts = (self.endpoints.len() / SLICE).max(1);
-        let (round, part) = (self.instance.number / parts, self.instance.number % parts);
+        let (round, part) = (self.instance.index / parts, self.instance.index % parts);
         let mut order = self.endpoints.to_vec();
         order.shuffle(&mut ChaCha8Rng::seed_from_u64(round as u64));
         order.into_iter().skip(part * SLICE).take(SLICE).collect()
@@ -199,7 +199,7 @@
     /// The slice of the ring at the position of this instance.
     pub(super) fn ring_slice(&self) -> Vec<usize> {
         let count = self.endpoints.len();
-        let start = self.instance.number * count / self.instance.instances.max(1);
+        let start = self.instance.index * count / self.instance.count.max(1);
         (0..SLICE.min(count)).map(|offset| self.endpoints[(start + offset) % count]).collect()
     }
 
@@ -208,8 +208,8 @@
     pub(super) fn weighted_by_reports(&mut self) -> usize {
         let weight = |endpoint: &usize| {
             let load = self.load(*endpoint);
-            (load.served > 0.0)
-                .then(|| load.served / load.in_hand.max(MIN_IN_FLIGHT))
+            (load.served_per_second > 0.0)
+                .then(|| load.served_per_second / load.in_flight.max(MIN_IN_FLIGHT))
                 .filter(|w| w.is_finite())
         };
         let reported: Vec<f64> = self.endpoints.iter().filter_map(weight).collect();
--- a/crates/simulator/src/load_balance/simulation.rs
+++ b/crates/simulator/src/load_balance/simulation.rs
@@ -233,7 +233,7 @@
         }
         for (place, fault) in scenario.faults.values().enumerate() {
             simulation.schedule(Duration::from_secs_f64(fault.at), Event::Fault { place, begins: true });
-            let end = Duration::from_secs_f64(fault.at + fault.lasts);
+            let end = Duration::from_secs_f64(fault.at + fault.duration);
             simulation.schedule(end, Event::Fault { place, begins: false });
         }
         simulation.schedule(Duration::ZERO, Event::Submission);
@@ -249,13 +249,13 @@
     }
 
     fn note_limit(&mut self, partner: usize) {
-        if let Some(limit) = self.sites.partners[partner].limit() {
+        if let Some(limit) = self.sites.partners[partner].total_limit() {
             self.run.record.partners[partner].limit_steps.push((self.now, limit));
         }
     }
 
     fn note_endpoint(&mut self, endpoint: usize) {
-        self.run.record.endpoints.push(self.sites.endpoints[endpoint].entry());
+        self.run.record.endpoints.push(self.sites.endpoints[endpoint].record_entry());
     }
 
     fn dispatch(&mut self, event: Event) {
@@ -265,12 +265,12 @@
             Event::Leave { call } => self.leave(call),
             Event::Response { call } => self.answer(call),
             Event::Probed { instance, epoch, endpoint } => {
-                let in_hand = f64::from(self.sites.endpoints[endpoint].in_hand);
+                let in_hand = f64::from(self.sites.endpoints[endpoint].in_flight);
                 let gateway = &mut self.gateways[instance as usize];
                 if let (Client::BaselineClient(baseline), true) =
                     (&mut gateway.client, gateway.epoch == epoch)
                 {
-                    baseline.probed(self.now, endpoint, in_hand);
+                    baseline.on_probe_completed(self.now, endpoint, in_hand);
                 }
             }
             Event::Wake { instance } => {
@@ -289,11 +289,11 @@
     // ---- Clients ----
 
     fn submit_next(&mut self) {
-        let next = self.now + self.traffic.gap(&mut self.rng);
+        let next = self.now + self.traffic.draw_interarrival_time(&mut self.rng);
         if next.as_secs_f64() < self.scenario.seconds {
             self.schedule(next, Event::Submission);
         }
-        let Arrival { class, partner, instance } = self.traffic.draw(&mut self.rng);
+        let Arrival { class, partner, instance } = self.traffic.draw_arrival(&mut self.rng);
         let Some(spec) = self.scenario.class.values().nth(class) else { return };
         let deadline = self.now + Duration::from_secs_f64(spec.deadline);
         self.run.offered_value += spec.worth;
@@ -346,25 +346,25 @@
     fn reach(&mut self, call: usize) {
         let now = self.now;
         let (endpoint, message) = (self.calls[call].endpoint, self.calls[call].message);
-        if self.sites.endpoints[endpoint].gone {
+        if self.sites.endpoints[endpoint].removed {
             self.calls[call].refused_connection = true;
             return self.schedule(now, Event::Response { call });
         }
-        let reached = self.sites.reach(now, endpoint, &message.to_string());
+        let reached = self.sites.handle_request(now, endpoint, &message.to_string());
         if self.returned.contains(&endpoint) && self.sites.endpoints[endpoint].model.has_collapsed() {
             self.returned.retain(|other| *other != endpoint);
             self.run.violations.recovery_overloads += 1;
         }
         let outcome = reached.outcome();
-        let response_time = reached.verdict.respond_at.map_or(Duration::ZERO, |at| at - now);
+        let response_time = reached.decision.respond_at.map_or(Duration::ZERO, |at| at - now);
         let instance = self.calls[call].instance;
         self.run.record.calls.push(Call { at: now, endpoint, instance, outcome, response_time });
-        if reached.verdict.takes_effect {
+        if reached.decision.takes_effect {
             self.record_effect(message);
         }
         let at = &mut self.calls[call];
-        (at.reply, at.told, at.load) = (reached.verdict.reply, reached.told, reached.load);
-        match reached.verdict.respond_at {
+        (at.reply, at.told, at.load) = (reached.decision.reply, reached.advertised_limit, reached.load);
+        match reached.decision.respond_at {
             Some(at) if at > now => self.schedule(at, Event::Leave { call }),
             Some(_) => {
                 let at = now + self.network_delay();
@@ -389,9 +389,9 @@
 
     fn leave(&mut self, call: usize) {
         let endpoint = self.calls[call].endpoint;
-        self.sites.answered(endpoint);
+        self.sites.on_response_sent(endpoint);
         // The load report is of the moment in which the response leaves.
-        let load = self.sites.load(self.now, endpoint);
+        let load = self.sites.load_report(self.now, endpoint);
         self.calls[call].load = load;
         let at = self.now + self.network_delay();
         self.schedule(at, Event::Response { call });
--- a/crates/simulator/src/load_balance/simulation/faults.rs
+++ b/crates/simulator/src/load_balance/simulation/faults.rs
@@ -13,37 +13,37 @@
         let Some(spec) = self.scenario.faults.values().nth(place) else { return };
         let Some(kind) = spec.fault_kind() else { return };
         let partners = self.scenario.affected_partners(spec);
-        let factor = if begins { spec.size } else { 1.0 };
+        let factor = if begins { spec.magnitude } else { 1.0 };
         match kind {
             LoadBalanceFault::Errors => self.set_endpoint_fault(spec, EndpointFault::Errors, begins),
             LoadBalanceFault::Silent => self.set_endpoint_fault(spec, EndpointFault::Silent, begins),
             LoadBalanceFault::Slow => self.set_endpoint_fault(spec, EndpointFault::Slow, begins),
-            LoadBalanceFault::Burst => self.traffic.multiply(&partners, factor),
-            LoadBalanceFault::Limit => self.multiply_limits(&partners, factor),
-            LoadBalanceFault::Still => self.sites.freeze_reports(begins),
-            LoadBalanceFault::SlowFor => {
-                let count = (self.gateways.len() as f64 * spec.size) as usize;
+            LoadBalanceFault::TrafficBurst => self.traffic.set_factor(&partners, factor),
+            LoadBalanceFault::LimitChange => self.multiply_limits(&partners, factor),
+            LoadBalanceFault::FrozenReports => self.sites.freeze_reports(begins),
+            LoadBalanceFault::SlowPath => {
+                let count = (self.gateways.len() as f64 * spec.magnitude) as usize;
                 self.slow_for_instances = begins.then_some(count);
             }
-            LoadBalanceFault::Replace if begins => self.replace_endpoints(spec),
-            LoadBalanceFault::Replace => self.remove_replaced(spec),
-            LoadBalanceFault::Restart if begins => {
-                let count = (self.gateways.len() as f64 * spec.size) as u32;
+            LoadBalanceFault::EndpointReplacement if begins => self.replace_endpoints(spec),
+            LoadBalanceFault::EndpointReplacement => self.remove_replaced(spec),
+            LoadBalanceFault::InstanceRestart if begins => {
+                let count = (self.gateways.len() as f64 * spec.magnitude) as u32;
                 (0..count).for_each(|instance| self.lose(instance));
             }
-            LoadBalanceFault::Restart => {}
+            LoadBalanceFault::InstanceRestart => {}
         }
     }
 
     /// The endpoints that a fault affects: its share of those of each affected partner.
     fn affected_endpoints(&self, spec: &LoadBalanceFaultSpec) -> Vec<usize> {
         let partners = self.scenario.affected_partners(spec);
-        partners.iter().flat_map(|partner| self.sites.part(*partner, spec.size)).collect()
+        partners.iter().flat_map(|partner| self.sites.first_in_service(*partner, spec.magnitude)).collect()
     }
 
     fn set_endpoint_fault(&mut self, spec: &LoadBalanceFaultSpec, fault: EndpointFault, begins: bool) {
         for endpoint in self.affected_endpoints(spec) {
-            self.sites.wrong(self.now, endpoint, fault, begins);
+            self.sites.set_fault(self.now, endpoint, fault, begins);
             if fault == EndpointFault::Silent && !begins {
                 self.returned.push(endpoint);
             }
@@ -52,7 +52,7 @@
 
     fn multiply_limits(&mut self, partners: &[usize], factor: f64) {
         for partner in partners.iter().copied() {
-            self.sites.partners[partner].multiply_limits(self.now, factor);
+            self.sites.partners[partner].set_limit_factor(self.now, factor);
             self.note_limit(partner);
         }
         self.schedule_list_updates(UPDATE_SPREAD);
@@ -62,22 +62,22 @@
     fn replace_endpoints(&mut self, spec: &LoadBalanceFaultSpec) {
         for gone in self.affected_endpoints(spec) {
             let replaced = &self.sites.endpoints[gone];
-            let (partner, pace) = (replaced.partner, replaced.pace);
+            let (partner, pace) = (replaced.partner, replaced.capacity_factor);
             let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
-            let added = self.sites.add(self.scenario, partner, pace, self.now, &mut rng);
+            let added = self.sites.add_endpoint(self.scenario, partner, pace, self.now, &mut rng);
             self.note_endpoint(added);
             self.removals.push(EndpointRemoval { gone, at: self.now });
         }
-        self.schedule_list_updates(Duration::from_secs_f64(spec.lasts));
+        self.schedule_list_updates(Duration::from_secs_f64(spec.duration));
     }
 
     /// Takes replaced endpoints out of service once all instances have received the update.
     fn remove_replaced(&mut self, spec: &LoadBalanceFaultSpec) {
         let until = self.now;
         for EndpointRemoval { gone, at } in self.removals.clone() {
-            if at + Duration::from_secs_f64(spec.lasts) <= self.now {
-                self.sites.endpoints[gone].gone = true;
-                self.sites.endpoints[gone].until = until;
+            if at + Duration::from_secs_f64(spec.duration) <= self.now {
+                self.sites.endpoints[gone].removed = true;
+                self.sites.endpoints[gone].in_service_until = until;
                 self.run.record.endpoints[gone].until = until;
             }
         }
--- a/crates/simulator/src/load_balance/simulation/gateways.rs
+++ b/crates/simulator/src/load_balance/simulation/gateways.rs
@@ -32,10 +32,10 @@
         kinds: [false, true]
             .map(|own_limits| cloverstile::Kind { max_batch: 1, per_endpoint_limits: own_limits })
             .to_vec(),
-        concurrency_limit: scenario.call_slots,
-        max_queued: scenario.most_held,
+        concurrency_limit: scenario.concurrency_limit,
+        max_queued: scenario.max_queued,
         max_attempts: SEND_CAP,
-        connection_idle_timeout: Duration::from_secs_f64(scenario.conn_idle),
+        connection_idle_timeout: Duration::from_secs_f64(scenario.connection_idle_timeout),
         max_retry_after: Some(Duration::from_secs(5)),
         rules: scenario.rules.rules(),
         ..Settings::default()
@@ -51,12 +51,12 @@
             }
             ClientPolicy::Baseline(choice, limiter) => {
                 let settings = BaselineSettings {
-                    number: instance,
+                    instance,
                     instances: self.scenario.instances,
-                    choice,
+                    selection: choice,
                     limiter,
-                    slots: self.scenario.call_slots,
-                    held: self.scenario.most_held,
+                    concurrency_limit: self.scenario.concurrency_limit,
+                    max_held: self.scenario.max_queued,
                 };
                 Client::BaselineClient(Box::new(BaselineClient::new(settings, seed)))
             }
@@ -74,8 +74,8 @@
             Client::Module(engine) => {
                 let entries = (0..self.sites.endpoints.len()).map(|place| {
                     let partner = self.sites.endpoints[place].partner;
-                    let apart = self.sites.partners[partner].spec.apart;
-                    let weight = self.sites.told_weight(place);
+                    let apart = self.sites.partners[partner].spec.limit_per_endpoint;
+                    let weight = self.sites.listed_weight(place);
                     cloverstile::Endpoint {
                         id: EndpointId(place as u32),
                         zone: ZoneId(0),
@@ -96,9 +96,9 @@
                 let list = (0..self.sites.partners.len()).map(|partner| {
                     let of = &self.sites.partners[partner];
                     let there = of.endpoints.iter().copied().filter(|e| !replaced.contains(e)).collect();
-                    (there, of.limit())
+                    (there, of.total_limit())
                 });
-                baseline.list(list.collect());
+                baseline.update_endpoints(list.collect());
             }
         }
     }
@@ -147,7 +147,7 @@
             }
             Client::BaselineClient(baseline) => {
                 let repeatable = self.settings.classes[class].effect != Effect::Unsafe;
-                baseline.take(number, partner, deadline, repeatable)
+                baseline.submit(number, partner, deadline, repeatable)
             }
         };
         if !taken {
@@ -246,7 +246,7 @@
         self.stop_waiting(number);
         self.messages[number as usize].may_have_run = true;
         let partner = self.sites.endpoints[endpoint].partner;
-        let apart = self.sites.partners[partner].spec.apart.then_some(endpoint);
+        let apart = self.sites.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
         let grace = Duration::from_secs_f64(self.scenario.rules.drain_grace);
         let gateway = &mut self.gateways[instance as usize];
         if gateway.waits.get(&(partner, apart)).is_some_and(|until| now < *until) {
@@ -259,7 +259,7 @@
             self.run.violations.sends_after_drain += 1;
         }
         let idle = gateway.idle.entry(endpoint).or_default();
-        let fresh = Duration::from_secs_f64(self.scenario.conn_idle);
+        let fresh = Duration::from_secs_f64(self.scenario.connection_idle_timeout);
         idle.retain(|since| now - *since < fresh);
         let connected = idle.pop().is_some();
         let epoch = gateway.epoch;
@@ -293,7 +293,7 @@
         let at = &self.calls[call];
         let (instance, endpoint, number) = (at.instance, at.endpoint, at.message);
         let partner = self.sites.endpoints[endpoint].partner;
-        let apart = self.sites.partners[partner].spec.apart.then_some(endpoint);
+        let apart = self.sites.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
         let (reply, load) = (at.reply, at.load);
         let gateway = &mut self.gateways[instance as usize];
         if gateway.epoch != at.epoch || gateway.down {
@@ -324,12 +324,12 @@
             }
             Client::BaselineClient(baseline) => {
                 let how = match reply {
-                    _ if at.refused_connection => AttemptResult::Refused(None),
+                    _ if at.refused_connection => AttemptResult::Rejected(None),
                     Reply::Processed => AttemptResult::Delivered,
-                    Reply::Rejected(wait) => AttemptResult::Refused(wait),
+                    Reply::Rejected(wait) => AttemptResult::Rejected(wait),
                     Reply::Error | Reply::Truncated | Reply::Reset => AttemptResult::Unknown,
                 };
-                over = baseline.ended(now, number, how, Some(load));
+                over = baseline.on_attempt_completed(now, number, how, Some(load));
             }
         }
         if over {
@@ -391,12 +391,12 @@
     /// Placeholder while a gateway is being changed.
     fn placeholder() -> Gateway {
         let settings = BaselineSettings {
-            number: 0,
+            instance: 0,
             instances: 1,
-            choice: EndpointSelection::Random,
+            selection: EndpointSelection::Random,
             limiter: Limiter::None,
-            slots: 0,
-            held: 0,
+            concurrency_limit: 0,
+            max_held: 0,
         };
         Gateway::new(Client::BaselineClient(Box::new(BaselineClient::new(settings, 0))))
     }
--- a/crates/simulator/src/load_balance/traffic.rs
+++ b/crates/simulator/src/load_balance/traffic.rs
@@ -55,13 +55,13 @@
     }
 
     /// Multiplies the usual traffic of these partners from now on.
-    pub fn multiply(&mut self, partners: &[usize], factor: f64) {
+    pub fn set_factor(&mut self, partners: &[usize], factor: f64) {
         partners.iter().for_each(|partner| self.factors[*partner] = factor);
         self.by_partner = weighted(&self.wanted());
     }
 
     /// Draws the time until the next message.
-    pub fn gap(&self, rng: &mut ChaCha8Rng) -> Duration {
+    pub fn draw_interarrival_time(&self, rng: &mut ChaCha8Rng) -> Duration {
         let usual: f64 = self.shares.iter().sum();
         let rate = self.rate * self.wanted().iter().sum::<f64>() / usual.max(1e-9);
         let gap: f64 = Exp1.sample(rng);
@@ -69,7 +69,7 @@
     }
 
     /// Draws the next message.
-    pub fn draw(&self, rng: &mut ChaCha8Rng) -> Arrival {
+    pub fn draw_arrival(&self, rng: &mut ChaCha8Rng) -> Arrival {
         let (class, partner) = (self.by_class.sample(rng), self.by_partner.sample(rng));
         Arrival { class, partner, instance: self.by_load.sample(rng) }
     }
--- a/crates/simulator/tests/load_balance.rs
+++ b/crates/simulator/tests/load_balance.rs
@@ -13,7 +13,7 @@
 }
 
 fn figures(scenario: &LoadBalanceScenario, run: &LoadBalanceRun) -> LoadMetrics {
-    measure(&run.record, Duration::from_secs_f64(scenario.window), 1)
+    measure(&run.record, Duration::from_secs_f64(scenario.balance_window), 1)
 }
 
 #[test]
--- a/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
@@ -197,7 +197,7 @@
 fn print_partners(scenario: &LoadBalanceScenario, run: &LoadBalanceRun, seed: u64) {
     for partner in 0..run.record.partners.len() {
         let record = run.record.for_partner(partner);
-        let metrics = measure(&record, Duration::from_secs_f64(scenario.window), seed);
+        let metrics = measure(&record, Duration::from_secs_f64(scenario.balance_window), seed);
         println!(
             "partner {partner}: requests {} peak {:.2} central {:.2} random {:.2} jain {:.3} (random {:.3}) idle {:.3} limit use {:.3}",
             record.calls.len(),
--- a/crates/testbench/src/fleet/endpoint_list.rs
+++ b/crates/testbench/src/fleet/endpoint_list.rs
@@ -43,12 +43,12 @@
     pub fn to_json(&self, sites: &mut SimulatedPartners) -> serde_json::Value {
         let entry = |(endpoint, address): (usize, &SocketAddr)| {
             let partner = sites.endpoints[endpoint].partner;
-            let apart = sites.partners[partner].spec.apart;
+            let apart = sites.partners[partner].spec.limit_per_endpoint;
             serde_json::json!({
                 "instanceId": format!("s-{endpoint}"), "hostPort": address.to_string(), "zone": "here",
                 "machineType": if apart { "apart" } else { "shared" }, "cell": partner,
                 "lifecycle": if self.draining.contains(&endpoint) { "DRAINING" } else { "SERVING" },
-                "weight": sites.told_weight(endpoint), "startedAtMs": 0,
+                "weight": sites.listed_weight(endpoint), "startedAtMs": 0,
             })
         };
         let instances: Vec<serde_json::Value> = self.addresses.iter().enumerate().map(entry).collect();
--- a/crates/testbench/src/fleet/endpoint_requests.rs
+++ b/crates/testbench/src/fleet/endpoint_requests.rs
@@ -29,10 +29,10 @@
         };
         let partner = self.sites.endpoints[endpoint].partner;
         self.tracker.on_request(now, message, endpoint, self.has_own_limit(endpoint));
-        let reached = self.sites.reach(now, endpoint, &message.to_string());
-        let (reply, respond_at) = (reached.verdict.reply, reached.verdict.respond_at);
+        let reached = self.sites.handle_request(now, endpoint, &message.to_string());
+        let (reply, respond_at) = (reached.decision.reply, reached.decision.respond_at);
         let may_have_run = !matches!(reply, Reply::Rejected(_));
-        self.tracker.on_processed(now, message, may_have_run, reached.verdict.takes_effect);
+        self.tracker.on_processed(now, message, may_have_run, reached.decision.takes_effect);
         let call = Call {
             at: now,
             endpoint,
@@ -49,7 +49,7 @@
             message,
             recorded,
             reply,
-            advertised_limit: reached.told,
+            advertised_limit: reached.advertised_limit,
             in_service: respond_at.is_some_and(|at| at > now),
             completed: false,
         });
@@ -99,7 +99,7 @@
             return None;
         }
         if request.in_service {
-            self.sites.answered(request.endpoint);
+            self.sites.on_response_sent(request.endpoint);
         }
         Some(*request)
     }
@@ -107,6 +107,6 @@
     /// Whether an endpoint has a limit of its own, in place of a share of its partner's.
     fn has_own_limit(&self, endpoint: usize) -> bool {
         let partner = self.sites.endpoints[endpoint].partner;
-        self.sites.partners[partner].spec.apart
+        self.sites.partners[partner].spec.limit_per_endpoint
     }
 }
--- a/crates/testbench/src/fleet/faults.rs
+++ b/crates/testbench/src/fleet/faults.rs
@@ -18,30 +18,32 @@
         let Some(fault) = self.scenario.faults.values().nth(position) else { return };
         let Some(kind) = fault.fault_kind() else { return };
         let partners = self.scenario.affected_partners(fault);
-        let endpoints: Vec<usize> =
-            partners.iter().flat_map(|partner| self.sites.part(*partner, fault.size)).collect();
+        let endpoints: Vec<usize> = partners
+            .iter()
+            .flat_map(|partner| self.sites.first_in_service(*partner, fault.magnitude))
+            .collect();
         match kind {
             LoadBalanceFault::Errors => self.fail_endpoints(now, &endpoints, EndpointFault::Errors, begins),
             LoadBalanceFault::Silent => self.fail_endpoints(now, &endpoints, EndpointFault::Silent, begins),
             LoadBalanceFault::Slow => self.fail_endpoints(now, &endpoints, EndpointFault::Slow, begins),
-            LoadBalanceFault::Burst => {
-                self.traffic.multiply(&partners, if begins { fault.size } else { 1.0 });
+            LoadBalanceFault::TrafficBurst => {
+                self.traffic.set_factor(&partners, if begins { fault.magnitude } else { 1.0 });
             }
-            LoadBalanceFault::Limit => {
-                self.multiply_limits(now, &partners, if begins { fault.size } else { 1.0 });
+            LoadBalanceFault::LimitChange => {
+                self.multiply_limits(now, &partners, if begins { fault.magnitude } else { 1.0 });
             }
-            LoadBalanceFault::Still => self.sites.freeze_reports(begins),
-            LoadBalanceFault::SlowFor => {
-                self.delayed_gateways = if begins { self.share_of_gateways(fault.size) } else { 0 };
+            LoadBalanceFault::FrozenReports => self.sites.freeze_reports(begins),
+            LoadBalanceFault::SlowPath => {
+                self.delayed_gateways = if begins { self.share_of_gateways(fault.magnitude) } else { 0 };
             }
-            LoadBalanceFault::Replace if begins => {
-                self.begin_replacement(now, &endpoints, Duration::from_secs_f64(fault.lasts));
+            LoadBalanceFault::EndpointReplacement if begins => {
+                self.begin_replacement(now, &endpoints, Duration::from_secs_f64(fault.duration));
             }
-            LoadBalanceFault::Replace => self.shut_replaced_endpoints(now),
-            LoadBalanceFault::Restart if begins => {
-                self.kill_gateways(now, self.share_of_gateways(fault.size));
+            LoadBalanceFault::EndpointReplacement => self.shut_replaced_endpoints(now),
+            LoadBalanceFault::InstanceRestart if begins => {
+                self.kill_gateways(now, self.share_of_gateways(fault.magnitude));
             }
-            LoadBalanceFault::Restart => {}
+            LoadBalanceFault::InstanceRestart => {}
         }
     }
 
@@ -51,13 +53,13 @@
 
     fn fail_endpoints(&mut self, now: Duration, endpoints: &[usize], fault: EndpointFault, begins: bool) {
         for endpoint in endpoints {
-            self.sites.wrong(now, *endpoint, fault, begins);
+            self.sites.set_fault(now, *endpoint, fault, begins);
         }
     }
 
     fn multiply_limits(&mut self, now: Duration, partners: &[usize], factor: f64) {
         for partner in partners {
-            self.sites.partners[*partner].multiply_limits(now, factor);
+            self.sites.partners[*partner].set_limit_factor(now, factor);
             self.record_limit(now, *partner);
         }
         self.endpoint_list.weights_changed();
@@ -79,14 +81,14 @@
         let end = now + duration;
         for draining in endpoints.iter().copied() {
             let old = &self.sites.endpoints[draining];
-            let (partner, pace) = (old.partner, old.pace);
-            let added = self.sites.add(self.scenario, partner, pace, now, &mut self.rng);
+            let (partner, pace) = (old.partner, old.capacity_factor);
+            let added = self.sites.add_endpoint(self.scenario, partner, pace, now, &mut self.rng);
             if let Err(error) = self.open_endpoint(added) {
                 self.failure = Some(error);
                 return;
             }
             self.endpoint_list.drain(draining);
-            self.sites.endpoints[draining].until = end;
+            self.sites.endpoints[draining].in_service_until = end;
             self.tracker.run.record.endpoints[draining].until = end;
             self.tracker.on_drain(end, draining);
         }
@@ -95,7 +97,7 @@
 
     fn shut_replaced_endpoints(&mut self, now: Duration) {
         for (endpoint, listener) in self.endpoint_listeners.iter_mut().enumerate() {
-            if self.sites.endpoints[endpoint].until <= now {
+            if self.sites.endpoints[endpoint].in_service_until <= now {
                 if let Some(listener) = listener.take() {
                     self.net.stop_listening(listener);
                 }
--- a/crates/testbench/src/fleet/gateway_config.rs
+++ b/crates/testbench/src/fleet/gateway_config.rs
@@ -52,13 +52,13 @@
         let (scenario, rules) = (self.scenario, &self.scenario.rules);
         json!({
             "Balancers": scenario.instances, "Discovery": "push", "Locality": 0, "ClientHabits": {"MarksRetry": false},
-            "FamilyInfo": {"CallsOut": scenario.call_slots, "KindBatch": [1, 1], "OwnLimits": [false, true], "Decay": "line",
+            "FamilyInfo": {"CallsOut": scenario.concurrency_limit, "KindBatch": [1, 1], "OwnLimits": [false, true], "Decay": "line",
                 "ReportX0": "share_of_the_allowance_that_is_left", "ReportX1": "calls_a_second"},
             "Lanes": scenario.class.iter().map(|(name, class)| lane(name, class)).collect::<Vec<_>>(),
             "MachineTypes": ["shared", "apart"], "Zones": ["here"], "WeightSource": "nominal",
             "Report": {"Fields": ["x0", "x1"], "Source": "piggyback"},
-            "Permissions": {"MostHeld": scenario.most_held, "SendCap": 8, "Cancel": true, "RetryAfter": true,
-                "MaxRetryAfter": nanos(5.0), "ConnIdle": nanos(scenario.conn_idle), "ConnectTimeout": nanos(1.0)},
+            "Permissions": {"MostHeld": scenario.max_queued, "SendCap": 8, "Cancel": true, "RetryAfter": true,
+                "MaxRetryAfter": nanos(5.0), "ConnIdle": nanos(scenario.connection_idle_timeout), "ConnectTimeout": nanos(1.0)},
             "Rules": {"AnswerSlack": nanos(rules.answer_slack), "ColdFrom": rules.cold_from,
                 "Cold": nanos(rules.cold), "TipMultiple": rules.tip_multiple, "Fall": nanos(rules.fall),
                 "OrderSettle": nanos(rules.order_settle)},
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -53,7 +53,7 @@
         for (position, fault) in self.state.scenario.faults.values().enumerate() {
             let begin = Duration::from_secs_f64(fault.at);
             timers.schedule(begin, Timer::Fault { position, begins: true });
-            let end = Duration::from_secs_f64(fault.at + fault.lasts);
+            let end = Duration::from_secs_f64(fault.at + fault.duration);
             timers.schedule(end, Timer::Fault { position, begins: false });
         }
         timers.schedule(Duration::ZERO, Timer::NextSubmission);
--- a/crates/testbench/src/fleet/harness_state.rs
+++ b/crates/testbench/src/fleet/harness_state.rs
@@ -95,13 +95,13 @@
         self.servers.add_listener(listener, Service::Endpoint(endpoint));
         self.endpoint_listeners.push(Some(listener));
         self.endpoint_list.add(address);
-        self.tracker.run.record.endpoints.push(self.sites.endpoints[endpoint].entry());
+        self.tracker.run.record.endpoints.push(self.sites.endpoints[endpoint].record_entry());
         Ok(())
     }
 
     /// Records a partner's shared limit as it is now.
     pub fn record_limit(&mut self, now: Duration, partner: usize) {
-        if let Some(limit) = self.sites.partners[partner].limit() {
+        if let Some(limit) = self.sites.partners[partner].total_limit() {
             self.tracker.run.record.partners[partner].limit_steps.push((now, limit));
         }
     }
--- a/crates/testbench/src/fleet/submissions.rs
+++ b/crates/testbench/src/fleet/submissions.rs
@@ -18,11 +18,11 @@
 impl HarnessState<'_> {
     /// Draws the next message, submits it and schedules the one after it.
     pub(super) fn submit_next(&mut self, now: Duration) {
-        let next = now + self.traffic.gap(&mut self.rng);
+        let next = now + self.traffic.draw_interarrival_time(&mut self.rng);
         if next.as_secs_f64() < self.scenario.seconds {
             self.timers.schedule(next, Timer::NextSubmission);
         }
-        let Arrival { class, partner, instance: gateway } = self.traffic.draw(&mut self.rng);
+        let Arrival { class, partner, instance: gateway } = self.traffic.draw_arrival(&mut self.rng);
         let message = self.tracker.on_submission(now, gateway, partner, class);
         self.submit(now, message);
     }
--- a/crates/testbench/src/load_report.rs
+++ b/crates/testbench/src/load_report.rs
@@ -66,7 +66,7 @@
         seed: u64,
         elapsed: Duration,
     ) -> LoadReport {
-        let metrics = measure(&run.record, Duration::from_secs_f64(scenario.window), seed);
+        let metrics = measure(&run.record, Duration::from_secs_f64(scenario.balance_window), seed);
         let [delivered, rejected, failed] = run.outcome_counts;
         LoadReport {
             gateways: scenario.instances,
