--- a/crates/simulator/src/failover/record.rs
+++ b/crates/simulator/src/failover/record.rs
@@ -25,11 +25,11 @@
     /// Times it took effect.
     pub effects: u32,
     /// When it last did, for windows of repeats.
-    pub effect_at: Option<Duration>,
+    pub last_effect_at: Option<Duration>,
     /// Its final outcome and the time of it.
-    pub answer: Option<(FinalOutcome, Duration)>,
+    pub outcome: Option<(FinalOutcome, Duration)>,
     /// Final outcomes beyond the first.
-    pub more_answers: u32,
+    pub extra_outcomes: u32,
 }
 
 /// A second of a run.
@@ -38,15 +38,15 @@
     /// Messages submitted.
     pub submitted: u32,
     /// Worth of those if each were delivered on time.
-    pub offered: f64,
+    pub offered_value: f64,
     /// Messages delivered.
     pub delivered: u32,
     /// Worth of those by their age at delivery.
-    pub worth: f64,
+    pub delivered_value: f64,
     /// Messages that ended otherwise.
-    pub lost: u32,
+    pub undelivered: u32,
     /// Messages submitted for destinations of several tiers.
-    pub tiered: u32,
+    pub multi_tier: u32,
     /// Messages that first reached a tier behind the preferred one.
     pub spilled: u32,
     /// Requests that reached sites, rejected ones included.
@@ -57,19 +57,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryWindow {
     /// The site.
-    pub site: u32,
+    pub destination: u32,
     /// Number of the site's recovery, from 1.
     pub recovery: u32,
     /// Beginning of the window, since the beginning of the run.
-    pub at: Duration,
+    pub start: Duration,
     /// Beginning of the window, since the recovery.
-    pub after: Duration,
+    pub since_recovery: Duration,
     /// Requests that reached it.
     pub received: u32,
     /// Requests that it can serve in that time while it warms up.
     pub capacity: f64,
     /// Requests that it survives in that time: the rules' multiple of its capacity.
-    pub bound: f64,
+    pub collapse_bound: f64,
 }
 
 /// A submission: which message, for which destination and to which gateway instance.
@@ -87,31 +87,31 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailoverViolations {
     /// Messages without a final answer, or with several.
-    pub unanswered: u64,
+    pub missing_or_extra_outcomes: u64,
     /// ... with one that came after the deadline and its slack, or that is not true.
-    pub late_or_untrue: u64,
+    pub late_or_wrong_outcomes: u64,
     /// ... that took effect twice.
-    pub twice: u64,
+    pub repeated_effects: u64,
     /// ... that took effect after a later one of their key.
     pub out_of_order: u64,
     /// Requests to endpoints listed as draining, after the grace period.
-    pub after_drain: u64,
+    pub sends_after_drain: u64,
     /// Sites that collapsed under overload.
-    pub pushed_over: u64,
+    pub collapsed_sites: u64,
     /// Requests to a site before the end of the `Retry-After` that it had sent to this instance.
-    pub waits_broken: u64,
+    pub early_retries: u64,
 }
 
 impl FailoverViolations {
     /// Violations of all kinds together.
     pub fn total(&self) -> u64 {
-        self.unanswered
-            + self.late_or_untrue
-            + self.twice
+        self.missing_or_extra_outcomes
+            + self.late_or_wrong_outcomes
+            + self.repeated_effects
             + self.out_of_order
-            + self.after_drain
-            + self.pushed_over
-            + self.waits_broken
+            + self.sends_after_drain
+            + self.collapsed_sites
+            + self.early_retries
     }
 }
 
@@ -131,5 +131,5 @@
     /// Requests that reached sites.
     pub requests: u64,
     /// How often an engine was asked for its next commands.
-    pub turns: u64,
+    pub advance_calls: u64,
 }
--- a/crates/simulator/src/failover/scenario.rs
+++ b/crates/simulator/src/failover/scenario.rs
@@ -1,7 +1,9 @@
 //! Failover scenarios, read from HCL: instances, destinations, classes and faults. Times are in seconds, rates
 //! per second.
 
-use crate::scenario::{longest_retry_window, one, span, ClassSpec, RuleSpec, ScenarioError};
+use crate::scenario::{
+    default_one, duration_from_secs, longest_retry_window, ClassSpec, RuleSpec, ScenarioError,
+};
 use cloverstile_fakes::model::{Fault, ServerProfile};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,16 +23,17 @@
     #[serde(default)]
     pub skew: f64,
     /// Concurrency limit of an instance, in requests in flight.
-    #[serde(default = "call_slots")]
-    pub call_slots: usize,
+    #[serde(default = "call_slots", rename = "call_slots")]
+    pub concurrency_limit: usize,
     /// Most messages that an instance queues.
-    #[serde(default = "most_held")]
-    pub most_held: usize,
+    #[serde(default = "most_held", rename = "most_held")]
+    pub max_queued: usize,
     /// One-way network delay: its least value and the mean of its random part, in milliseconds.
     #[serde(default = "network_delay_ms", rename = "way_ms")]
     pub network_delay_ms: [f64; 2],
     /// Class blocks, by name.
-    pub class: BTreeMap<String, ClassSpec>,
+    #[serde(rename = "class")]
+    pub classes: BTreeMap<String, ClassSpec>,
     /// Destination blocks, by name.
     #[serde(rename = "bank")]
     pub destinations: BTreeMap<String, DestinationSpec>,
@@ -63,7 +66,7 @@
     #[serde(default = "one_copy")]
     pub copies: usize,
     /// Share of the messages, of all copies together.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub share: f64,
     /// Share of the messages for a lost tier that may spill.
     #[serde(default)]
@@ -72,13 +75,14 @@
     #[serde(default)]
     pub spill_rate: Option<f64>,
     /// A tier counts as lost only after so long without an answer.
-    #[serde(default = "one")]
-    pub lost_after: f64,
+    #[serde(default = "default_one", rename = "lost_after")]
+    pub down_after: f64,
     /// From a lost tier's first answer until nothing spills any more.
-    #[serde(default = "ramp")]
-    pub ramp: f64,
+    #[serde(default = "ramp", rename = "ramp")]
+    pub recovery_ramp: f64,
     /// Its sites.
-    pub site: BTreeMap<String, SiteSpec>,
+    #[serde(rename = "site")]
+    pub sites: BTreeMap<String, SiteSpec>,
 }
 
 fn one_copy() -> usize {
@@ -111,11 +115,11 @@
     #[serde(default = "service")]
     pub service_ms: [f64; 2],
     /// Rate limit over all instances together, in requests per second.
-    #[serde(default)]
-    pub limit: Option<f64>,
+    #[serde(default, rename = "limit")]
+    pub rate_limit: Option<f64>,
     /// Rejections carry a `Retry-After`.
-    #[serde(default)]
-    pub tells_wait: bool,
+    #[serde(default, rename = "tells_wait")]
+    pub sends_retry_after: bool,
 }
 
 fn two() -> usize {
@@ -134,20 +138,20 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailoverFaultSpec {
-    /// Beginning; delayed at random within `sway`.
+    /// Beginning; delayed at random within `jitter`.
     pub at: f64,
     /// How long it lasts.
-    #[serde(default = "one")]
-    pub lasts: f64,
+    #[serde(default = "default_one", rename = "lasts")]
+    pub duration: f64,
     /// Most by which the beginning is delayed at random, in seconds.
-    #[serde(default)]
-    pub sway: f64,
+    #[serde(default, rename = "sway")]
+    pub jitter: f64,
     /// Number of its occurrences.
-    #[serde(default = "once")]
-    pub times: u32,
+    #[serde(default = "once", rename = "times")]
+    pub occurrences: u32,
     /// Time from the beginning of one occurrence to that of the next.
-    #[serde(default)]
-    pub every: f64,
+    #[serde(default, rename = "every")]
+    pub interval: f64,
     /// Destination block that it affects, all copies together. None: every destination that has the tier.
     #[serde(default)]
     #[serde(rename = "bank")]
@@ -166,8 +170,8 @@
     /// connections), `drain`, `restart` or `burst`.
     pub kind: String,
     /// How much: a share, a factor, a rate or seconds.
-    #[serde(default = "one")]
-    pub size: f64,
+    #[serde(default = "default_one", rename = "size")]
+    pub magnitude: f64,
 }
 
 fn once() -> u32 {
@@ -178,9 +182,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailoverFault {
     /// A fault of the whole site.
-    Fault(Fault),
+    Site(Fault),
     /// Some endpoints refuse connections.
-    Part,
+    PartialOutage,
     /// Some endpoints are listed as draining.
     Drain,
     /// Some instances are lost and restart without their state.
@@ -193,11 +197,11 @@
     /// Its kind; none if the kind is not known.
     pub fn fault_kind(&self) -> Option<FailoverFault> {
         match self.kind.as_str() {
-            "part" => Some(FailoverFault::Part),
+            "part" => Some(FailoverFault::PartialOutage),
             "drain" => Some(FailoverFault::Drain),
             "restart" => Some(FailoverFault::Restart),
             "burst" => Some(FailoverFault::Burst),
-            other => Fault::from_name(other, self.size).map(FailoverFault::Fault),
+            other => Fault::from_name(other, self.magnitude).map(FailoverFault::Site),
         }
     }
 }
@@ -222,9 +226,9 @@
         positive("couriers", self.instances > 0)?;
         positive("seconds", self.seconds > 0.0)?;
         positive("rate", self.rate > 0.0)?;
-        positive("the number of classes", !self.class.is_empty())?;
+        positive("the number of classes", !self.classes.is_empty())?;
         positive("the number of banks", !self.destinations.is_empty())?;
-        for (name, class) in &self.class {
+        for (name, class) in &self.classes {
             let wrong = |what: &str| ScenarioError::Block {
                 block: "class",
                 name: name.clone(),
@@ -239,7 +243,7 @@
         }
         for (name, bank) in &self.destinations {
             let wrong = |what: String| ScenarioError::Block { block: "bank", name: name.clone(), what };
-            let mut tiers: Vec<usize> = bank.site.values().map(|site| site.tier).collect();
+            let mut tiers: Vec<usize> = bank.sites.values().map(|site| site.tier).collect();
             tiers.sort_unstable();
             if tiers.is_empty() || tiers != (0..tiers.len()).collect::<Vec<_>>() {
                 return Err(wrong("its sites' tiers must be 0, 1, 2 ... each once".into()));
@@ -263,27 +267,27 @@
     }
 
     /// Number of endpoints of all destinations together.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.destinations
             .values()
-            .map(|b| b.copies * b.site.values().map(|s| s.endpoints).sum::<usize>())
+            .map(|b| b.copies * b.sites.values().map(|s| s.endpoints).sum::<usize>())
             .sum()
     }
 
     /// The server profile of a site.
-    pub fn nature(&self, site: &SiteSpec) -> ServerProfile {
+    pub fn server_profile(&self, site: &SiteSpec) -> ServerProfile {
         ServerProfile {
             servers: site.servers,
             queue: site.queue,
-            min_service_time: span(site.service_ms[0] / 1e3),
-            mean_extra_service_time: span(site.service_ms[1] / 1e3),
-            limit: site.limit,
-            sends_retry_after: site.tells_wait,
-            repeat_window: longest_retry_window(&self.class),
-            initial_capacity_share: self.rules.cold_from,
-            warm_up_time: span(self.rules.cold),
-            collapse_multiple: self.rules.tip_multiple,
-            collapse_window: span(self.rules.fall),
+            min_service_time: duration_from_secs(site.service_ms[0] / 1e3),
+            mean_extra_service_time: duration_from_secs(site.service_ms[1] / 1e3),
+            limit: site.rate_limit,
+            sends_retry_after: site.sends_retry_after,
+            repeat_window: longest_retry_window(&self.classes),
+            initial_capacity_share: self.rules.warm_up_capacity,
+            warm_up_time: duration_from_secs(self.rules.warm_up_time),
+            collapse_multiple: self.rules.overload_multiple,
+            collapse_window: duration_from_secs(self.rules.overload_window),
         }
     }
 }
--- a/crates/simulator/src/failover/simulation.rs
+++ b/crates/simulator/src/failover/simulation.rs
@@ -120,8 +120,8 @@
 pub fn simulate_failover(scenario: &FailoverScenario, policy: SpilloverPolicy, seed: u64) -> FailoverRun {
     let mut simulation = Simulation::new(scenario, policy, seed);
     let span = |seconds: f64| Duration::from_secs_f64(seconds);
-    let longest = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
-    let end = span(scenario.seconds + longest + 2.0 * scenario.rules.answer_slack + 1.0);
+    let longest = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
+    let end = span(scenario.seconds + longest + 2.0 * scenario.rules.outcome_grace + 1.0);
     while let Some((at, event)) = simulation.events.pop() {
         if at > end {
             break;
@@ -141,9 +141,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let settings = Settings {
             instance_count: scenario.instances as u32,
-            classes: classes(&scenario.class),
-            concurrency_limit: scenario.call_slots,
-            max_queued: scenario.most_held,
+            classes: classes(&scenario.classes),
+            concurrency_limit: scenario.concurrency_limit,
+            max_queued: scenario.max_queued,
             rules: scenario.rules.rules(),
             ..Settings::default()
         };
@@ -159,7 +159,7 @@
         let fallback = || WeightedIndex::new([1.0]).expect("one weight above zero");
         let mut simulation = Simulation {
             by_load: weighted(loads.collect()).unwrap_or_else(fallback),
-            by_class: weighted(scenario.class.values().map(|c| c.share).collect()).unwrap_or_else(fallback),
+            by_class: weighted(scenario.classes.values().map(|c| c.share).collect()).unwrap_or_else(fallback),
             by_destination: weighted(destination_shares.collect()).unwrap_or_else(fallback),
             scenario,
             policy,
@@ -240,21 +240,22 @@
         let class = self.by_class.sample(&mut self.rng);
         let destination = self.by_destination.sample(&mut self.rng) as u32;
         let mut instance = self.by_load.sample(&mut self.rng) as u32;
-        let Some(spec) = self.scenario.class.values().nth(class) else { return };
-        let key = spec.in_order.then(|| {
-            let key = u64::from(destination) << 32 | u64::from(self.rng.random_range(0..spec.keys.max(1)));
+        let Some(spec) = self.scenario.classes.values().nth(class) else { return };
+        let key = spec.ordered.then(|| {
+            let key =
+                u64::from(destination) << 32 | u64::from(self.rng.random_range(0..spec.order_keys.max(1)));
             // All messages of an order key go to one instance.
             instance = (key % self.gateways.len() as u64) as u32;
             let (place, _) = self.keys.entry(key).or_insert((0, 0));
             *place += 1;
             (key, *place)
         });
-        let (deadline, worth) = (self.now + Duration::from_secs_f64(spec.deadline), spec.worth);
+        let (deadline, worth) = (self.now + Duration::from_secs_f64(spec.deadline), spec.priority_weight);
         let tiered = self.destinations[destination as usize].0.len() > 1;
         let second = self.second();
         second.submitted += 1;
-        second.offered += worth;
-        second.tiered += u32::from(tiered);
+        second.offered_value += worth;
+        second.multi_tier += u32::from(tiered);
         let number = self.run.messages.len() as u32;
         self.run.messages.push(MessageHistory {
             class: class as u8,
@@ -266,9 +267,9 @@
             first_tier: None,
             spilled_at: None,
             effects: 0,
-            effect_at: None,
-            answer: None,
-            more_answers: 0,
+            last_effect_at: None,
+            outcome: None,
+            extra_outcomes: 0,
         });
         self.submit(instance, number, false);
     }
@@ -306,20 +307,20 @@
 
     fn complete(&mut self, number: u32, answer: FinalOutcome) {
         let message = &mut self.run.messages[number as usize];
-        if message.answer.is_some() {
-            message.more_answers += 1;
+        if message.outcome.is_some() {
+            message.extra_outcomes += 1;
             return;
         }
-        message.answer = Some((answer, self.now));
-        let Some(class) = self.scenario.class.values().nth(usize::from(message.class)) else { return };
-        let worth = class.worth_at((self.now - message.submitted_at).as_secs_f64());
+        message.outcome = Some((answer, self.now));
+        let Some(class) = self.scenario.classes.values().nth(usize::from(message.class)) else { return };
+        let worth = class.value_at((self.now - message.submitted_at).as_secs_f64());
         let second = self.second();
         match answer {
             FinalOutcome::Delivered => {
                 second.delivered += 1;
-                second.worth += worth;
+                second.delivered_value += worth;
             }
-            _ => second.lost += 1,
+            _ => second.undelivered += 1,
         }
     }
 
@@ -327,7 +328,7 @@
 
     fn advance(&mut self, instance: u32) {
         let now = time(self.now);
-        self.run.turns += 1;
+        self.run.advance_calls += 1;
         let commands = self.gateways[instance as usize].engine.advance(now);
         for command in commands {
             self.execute(instance, command);
@@ -348,7 +349,7 @@
             Command::Send { endpoint, attempts } => {
                 let site = self.addresses[endpoint.0 as usize].site;
                 if gateway.waits.get(&site).is_some_and(|until| self.now < *until) {
-                    self.run.violations.waits_broken += 1;
+                    self.run.violations.early_retries += 1;
                 }
                 for attempt in attempts {
                     self.in_flight.insert((instance, epoch, attempt));
@@ -379,13 +380,13 @@
     fn finish(mut self) -> FailoverRun {
         for site in &mut self.sites {
             site.close_windows(self.now, &mut self.run.windows);
-            self.run.violations.pushed_over += u64::from(site.model.has_collapsed());
+            self.run.violations.collapsed_sites += u64::from(site.model.has_collapsed());
         }
-        let slack = Duration::from_secs_f64(self.scenario.rules.answer_slack);
+        let slack = Duration::from_secs_f64(self.scenario.rules.outcome_grace);
         let violations: &mut FailoverViolations = &mut self.run.violations;
         for message in &self.run.messages {
-            match message.answer {
-                None => violations.unanswered += 1,
+            match message.outcome {
+                None => violations.missing_or_extra_outcomes += 1,
                 Some((answer, at)) => {
                     let untrue = match answer {
                         FinalOutcome::Delivered => message.effects == 0,
@@ -395,8 +396,8 @@
                         }
                         FinalOutcome::Failed | FinalOutcome::Cancelled => false,
                     };
-                    violations.late_or_untrue += u64::from(untrue || at > message.deadline + slack);
-                    violations.unanswered += u64::from(message.more_answers > 0);
+                    violations.late_or_wrong_outcomes += u64::from(untrue || at > message.deadline + slack);
+                    violations.missing_or_extra_outcomes += u64::from(message.extra_outcomes > 0);
                 }
             }
         }
--- a/crates/simulator/src/failover/simulation/faults.rs
+++ b/crates/simulator/src/failover/simulation/faults.rs
@@ -11,12 +11,12 @@
         let ScheduledFault { spec, act, sites } = &self.scheduled_faults[place];
         let (spec, act, sites) = (spec.clone(), *act, sites.clone());
         match act {
-            FailoverFault::Fault(fault) => {
+            FailoverFault::Site(fault) => {
                 for site in sites {
                     self.check(site, !begins || !fault.is_outage());
                     let site = &mut self.sites[site as usize];
                     if begins {
-                        let until = self.now + Duration::from_secs_f64(spec.lasts);
+                        let until = self.now + Duration::from_secs_f64(spec.duration);
                         site.model.begin_fault(fault, until);
                     } else {
                         site.model.end_fault(self.now);
@@ -28,15 +28,15 @@
                     }
                 }
             }
-            FailoverFault::Part | FailoverFault::Drain => {
+            FailoverFault::PartialOutage | FailoverFault::Drain => {
                 for site in sites {
                     let of_site =
                         self.addresses.iter_mut().enumerate().filter(|(_, address)| address.site == site);
                     for (id, address) in of_site.take(spec.endpoints) {
                         match act {
-                            FailoverFault::Part => {
+                            FailoverFault::PartialOutage => {
                                 address.down = begins;
-                                self.checks.tell(time(self.now), EndpointId(id as u32), !begins);
+                                self.checks.record(time(self.now), EndpointId(id as u32), !begins);
                             }
                             _ => address.draining = begins.then_some(self.now),
                         }
@@ -61,14 +61,14 @@
                 }
             }
             FailoverFault::Restart => {}
-            FailoverFault::Burst => self.burst = if begins { spec.size } else { 1.0 },
+            FailoverFault::Burst => self.burst = if begins { spec.magnitude } else { 1.0 },
         }
     }
 
     /// Sets what health checks of a site's addresses find from now on.
     fn check(&self, site: u32, up: bool) {
         for (id, _) in self.addresses.iter().enumerate().filter(|(_, address)| address.site == site) {
-            self.checks.tell(time(self.now), EndpointId(id as u32), up);
+            self.checks.record(time(self.now), EndpointId(id as u32), up);
         }
     }
 
@@ -79,7 +79,7 @@
         let gateway = &mut self.gateways[instance as usize];
         (gateway.engine, gateway.down) = (engine, false);
         let mut held: Vec<u32> = std::mem::take(&mut gateway.held).into_values().collect();
-        held.retain(|number| self.run.messages[*number as usize].answer.is_none());
+        held.retain(|number| self.run.messages[*number as usize].outcome.is_none());
         held.sort_unstable();
         for number in held {
             self.submit(instance, number, true);
--- a/crates/simulator/src/failover/simulation/recovery.rs
+++ b/crates/simulator/src/failover/simulation/recovery.rs
@@ -29,13 +29,13 @@
             // Warmest at its end; colder would be held against instances that come with its last request.
             let capacity = self.rate * nature.capacity_share(after + WINDOW) * WINDOW.as_secs_f64();
             windows.push(RecoveryWindow {
-                site: self.destination,
+                destination: self.destination,
                 recovery: self.returns,
-                at: since + after,
-                after,
+                start: since + after,
+                since_recovery: after,
                 received,
                 capacity,
-                bound: nature.collapse_multiple * capacity,
+                collapse_bound: nature.collapse_multiple * capacity,
             });
         }
     }
--- a/crates/simulator/src/failover/simulation/requests.rs
+++ b/crates/simulator/src/failover/simulation/requests.rs
@@ -12,7 +12,7 @@
         let (id, down) = (address.site, address.down);
         let grace = Duration::from_secs_f64(self.scenario.rules.drain_grace);
         if address.draining.is_some_and(|since| now > since + grace) {
-            self.run.violations.after_drain += 1;
+            self.run.violations.sends_after_drain += 1;
         }
         let gateway = &self.gateways[instance as usize];
         let number = gateway.held.get(&attempt.message).copied().filter(|_| gateway.epoch == epoch);
@@ -63,14 +63,14 @@
         let class = &self.settings.classes[usize::from(message.class)];
         // Sites of one group share their idempotency keys: a repeat is dropped at whichever site it arrives.
         let window = self.sites[site as usize].model.profile().repeat_window;
-        let known = message.effect_at.is_some_and(|at| self.now < at + window);
+        let known = message.last_effect_at.is_some_and(|at| self.now < at + window);
         if class.effect == Effect::Keyed && class.group == Group::All && known {
             return;
         }
         message.effects += 1;
-        message.effect_at = Some(self.now);
+        message.last_effect_at = Some(self.now);
         if message.effects > 1 && class.effect != Effect::Safe {
-            self.run.violations.twice += 1;
+            self.run.violations.repeated_effects += 1;
         }
         if let (Some((key, place)), 1) = (message.key, message.effects) {
             let (_, last) = self.keys.entry(key).or_default();
--- a/crates/simulator/src/failover/simulation/setup.rs
+++ b/crates/simulator/src/failover/simulation/setup.rs
@@ -19,7 +19,7 @@
         let mut next = total;
         let mut zones: HashMap<String, ZoneId> = HashMap::new();
         for (destination_name, destination) in &scenario.destinations {
-            let mut tiers: Vec<(&String, &SiteSpec)> = destination.site.iter().collect();
+            let mut tiers: Vec<(&String, &SiteSpec)> = destination.sites.iter().collect();
             tiers.sort_by_key(|(_, site)| site.tier);
             for _ in 0..destination.copies {
                 let number = self.destinations.len();
@@ -32,7 +32,7 @@
                     let zone = site.zone.clone().unwrap_or_else(|| format!("{destination_name}/{name}"));
                     let next = ZoneId(zones.len() as u8);
                     let zone = *zones.entry(zone).or_insert(next);
-                    let nature = scenario.nature(site);
+                    let nature = scenario.server_profile(site);
                     let rate = nature.rate();
                     let id = self.sites.len() as u32;
                     let model = PartnerModel::new(nature, ChaCha8Rng::seed_from_u64(rng.random()));
@@ -59,8 +59,8 @@
                     capacities: rates,
                     spill_share: destination.spill_share,
                     spill_rate: destination.spill_rate.map(|rate| rate / instances),
-                    down_after: Duration::from_secs_f64(destination.lost_after),
-                    recovery_ramp: Duration::from_secs_f64(destination.ramp),
+                    down_after: Duration::from_secs_f64(destination.down_after),
+                    recovery_ramp: Duration::from_secs_f64(destination.recovery_ramp),
                 };
                 self.destinations.push((sites, tiers));
             }
@@ -83,11 +83,11 @@
                 .collect();
             let place = self.scheduled_faults.len();
             self.scheduled_faults.push(ScheduledFault { spec: spec.clone(), act, sites });
-            let sway = spec.sway * rng.random::<f64>();
-            for time in 0..spec.times {
-                let at = spec.at + sway + f64::from(time) * spec.every;
+            let sway = spec.jitter * rng.random::<f64>();
+            for time in 0..spec.occurrences {
+                let at = spec.at + sway + f64::from(time) * spec.interval;
                 self.schedule(Duration::from_secs_f64(at), Event::Fault { place, begins: true });
-                let end = Duration::from_secs_f64(at + spec.lasts);
+                let end = Duration::from_secs_f64(at + spec.duration);
                 self.schedule(end, Event::Fault { place, begins: false });
             }
         }
--- a/crates/simulator/src/failover/spillover_baseline.rs
+++ b/crates/simulator/src/failover/spillover_baseline.rs
@@ -39,7 +39,7 @@
     }
 
     /// The one of that name.
-    pub fn named(name: &str) -> Option<SpilloverPolicy> {
+    pub fn from_name(name: &str) -> Option<SpilloverPolicy> {
         SpilloverPolicy::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
@@ -59,7 +59,7 @@
 
 impl HealthChecks {
     /// Records that an address went down or came up.
-    pub fn tell(&self, now: Time, endpoint: EndpointId, up: bool) {
+    pub fn record(&self, now: Time, endpoint: EndpointId, up: bool) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(endpoint, (up, now));
     }
 
--- a/crates/simulator/src/load_balance/scenario.rs
+++ b/crates/simulator/src/load_balance/scenario.rs
@@ -1,6 +1,8 @@
 //! Load balance scenarios, read from HCL. Times are in seconds, rates per second.
 
-use crate::scenario::{classes, longest_retry_window, one, span, ClassSpec, RuleSpec, ScenarioError};
+use crate::scenario::{
+    classes, default_one, duration_from_secs, longest_retry_window, ClassSpec, RuleSpec, ScenarioError,
+};
 use cloverstile::{Class, Group};
 use cloverstile_fakes::limit::{LimitKind, LimitSettings};
 use cloverstile_fakes::model::ServerProfile;
@@ -159,13 +161,13 @@
     /// Beginning.
     pub at: f64,
     /// How long it lasts; of `replace`, how far the instances' hearing of it is spread.
-    #[serde(default = "one", rename = "lasts")]
+    #[serde(default = "default_one", rename = "lasts")]
     pub duration: f64,
     /// Partners affected; all copies together. None: all.
     #[serde(default)]
     pub partner: Option<String>,
     /// A factor, or a share of the endpoints or instances.
-    #[serde(default = "one", rename = "size")]
+    #[serde(default = "default_one", rename = "size")]
     pub magnitude: f64,
 }
 
@@ -245,7 +247,7 @@
             return Err(ScenarioError::Read("hot must be from 0 to below 1".into()));
         }
         for (name, class) in &self.class {
-            if !["safe", "keyed", "unsafe"].contains(&class.effect.as_str()) || class.in_order {
+            if !["safe", "keyed", "unsafe"].contains(&class.effect.as_str()) || class.ordered {
                 return Err(wrong(
                     "class",
                     name,
@@ -333,15 +335,15 @@
         ServerProfile {
             servers: ((partner.servers as f64 * capacity_factor).round() as usize).max(1),
             queue: partner.queue,
-            min_service_time: span(partner.service_ms[0] / 1e3),
-            mean_extra_service_time: span(partner.service_ms[1] / 1e3),
+            min_service_time: duration_from_secs(partner.service_ms[0] / 1e3),
+            mean_extra_service_time: duration_from_secs(partner.service_ms[1] / 1e3),
             limit: None,
             sends_retry_after: false,
             repeat_window: longest_retry_window(&self.class),
-            initial_capacity_share: self.rules.cold_from,
-            warm_up_time: span(self.rules.cold),
-            collapse_multiple: self.rules.tip_multiple,
-            collapse_window: span(self.rules.fall),
+            initial_capacity_share: self.rules.warm_up_capacity,
+            warm_up_time: duration_from_secs(self.rules.warm_up_time),
+            collapse_multiple: self.rules.overload_multiple,
+            collapse_window: duration_from_secs(self.rules.overload_window),
         }
     }
 
@@ -349,11 +351,11 @@
     pub fn limit_settings(&self, partner: &PartnerSpec, rate: f64) -> LimitSettings {
         LimitSettings {
             rate,
-            kind: partner
-                .limit_window
-                .map_or(LimitKind::TokenBucket, |seconds| LimitKind::FixedWindow(span(seconds))),
+            kind: partner.limit_window.map_or(LimitKind::TokenBucket, |seconds| {
+                LimitKind::FixedWindow(duration_from_secs(seconds))
+            }),
             counts_rejected: partner.counts_rejected,
-            refresh: span(self.report_interval_ms / 1e3),
+            refresh: duration_from_secs(self.report_interval_ms / 1e3),
         }
     }
 }
--- a/crates/simulator/src/load_balance/simulation.rs
+++ b/crates/simulator/src/load_balance/simulation.rs
@@ -183,7 +183,7 @@
 pub fn simulate_load_balance(scenario: &LoadBalanceScenario, who: ClientPolicy, seed: u64) -> LoadBalanceRun {
     let mut simulation = Simulation::new(scenario, who, seed);
     let longest = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
-    let end = Duration::from_secs_f64(scenario.seconds + longest + 2.0 * scenario.rules.answer_slack + 1.0);
+    let end = Duration::from_secs_f64(scenario.seconds + longest + 2.0 * scenario.rules.outcome_grace + 1.0);
     while let Some((at, event)) = simulation.events.pop() {
         if at > end {
             break;
@@ -296,7 +296,7 @@
         let Arrival { class, partner, instance } = self.traffic.draw_arrival(&mut self.rng);
         let Some(spec) = self.scenario.class.values().nth(class) else { return };
         let deadline = self.now + Duration::from_secs_f64(spec.deadline);
-        self.run.offered_value += spec.worth;
+        self.run.offered_value += spec.priority_weight;
         self.run.record.messages += 1;
         let number = self.messages.len() as u32;
         self.messages.push(Message {
@@ -323,7 +323,7 @@
     /// Records the final outcome: 0 delivered, 1 rejected, 2 failed.
     fn complete(&mut self, number: u32, answer: usize) {
         self.stop_waiting(number);
-        let slack = Duration::from_secs_f64(self.scenario.rules.answer_slack);
+        let slack = Duration::from_secs_f64(self.scenario.rules.outcome_grace);
         let now = self.now;
         let message = &mut self.messages[number as usize];
         if message.answered || now > message.deadline + slack {
@@ -337,7 +337,7 @@
         // A rejection states that the message never took effect.
         self.run.violations.repeated_effects += u64::from(answer == 1 && message.effect_at.is_some());
         if let (0, Some(class)) = (answer, self.scenario.class.values().nth(message.class)) {
-            self.run.delivered_value += class.worth_at((now - message.submitted_at).as_secs_f64());
+            self.run.delivered_value += class.value_at((now - message.submitted_at).as_secs_f64());
         }
     }
 
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -35,31 +35,37 @@
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSpec {
     /// Grace period after the deadline in which a response still counts.
-    pub answer_slack: f64,
+    #[serde(rename = "answer_slack")]
+    pub outcome_grace: f64,
     /// No new request to a draining endpoint so long after it was listed as draining.
     pub drain_grace: f64,
     /// Cooldown of an order key after an attempt of unknown outcome.
-    pub order_settle: f64,
+    #[serde(rename = "order_settle")]
+    pub key_cooldown: f64,
     /// Share of its capacity with which a site recovers.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub warm_up_capacity: f64,
     /// Time until a recovering site is warmed up.
-    pub cold: f64,
+    #[serde(rename = "cold")]
+    pub warm_up_time: f64,
     /// Load that a site survives while it warms up, as a multiple of its capacity.
-    pub tip_multiple: f64,
+    #[serde(rename = "tip_multiple")]
+    pub overload_multiple: f64,
     /// Time over which that load is measured.
-    pub fall: f64,
+    #[serde(rename = "fall")]
+    pub overload_window: f64,
 }
 
 impl Default for RuleSpec {
     fn default() -> Self {
         RuleSpec {
-            answer_slack: 0.2,
+            outcome_grace: 0.2,
             drain_grace: 0.3,
-            order_settle: 0.5,
-            cold_from: 0.2,
-            cold: 10.0,
-            tip_multiple: 2.0,
-            fall: 2.0,
+            key_cooldown: 0.5,
+            warm_up_capacity: 0.2,
+            warm_up_time: 10.0,
+            overload_multiple: 2.0,
+            overload_window: 2.0,
         }
     }
 }
@@ -68,12 +74,12 @@
     /// The rules as the gateways' settings state them.
     pub(crate) fn rules(&self) -> Rules {
         Rules {
-            outcome_grace: span(self.answer_slack),
-            warm_up_capacity: self.cold_from,
-            warm_up_time: span(self.cold),
-            overload_multiple: self.tip_multiple,
-            overload_window: span(self.fall),
-            key_cooldown: span(self.order_settle),
+            outcome_grace: duration_from_secs(self.outcome_grace),
+            warm_up_capacity: self.warm_up_capacity,
+            warm_up_time: duration_from_secs(self.warm_up_time),
+            overload_multiple: self.overload_multiple,
+            overload_window: duration_from_secs(self.overload_window),
+            key_cooldown: duration_from_secs(self.key_cooldown),
             discovery_interval: DISCOVERY_INTERVAL,
         }
     }
@@ -91,49 +97,51 @@
     #[serde(default = "all")]
     pub group: String,
     /// Messages of an order key are delivered in order.
-    #[serde(default)]
-    pub in_order: bool,
+    #[serde(default, rename = "in_order")]
+    pub ordered: bool,
     /// Order keys of each destination, for ordered classes.
-    #[serde(default = "keys")]
-    pub keys: u32,
+    #[serde(default = "keys", rename = "keys")]
+    pub order_keys: u32,
     /// Latency objective.
-    pub aim: f64,
+    #[serde(rename = "aim")]
+    pub latency_objective: f64,
     /// Messages expire after so long.
     pub deadline: f64,
     /// Time in which partners drop repeats.
-    #[serde(default)]
-    pub window: f64,
+    #[serde(default, rename = "window")]
+    pub retry_window: f64,
     /// Worth of one on time.
-    #[serde(default = "one")]
-    pub worth: f64,
+    #[serde(default = "default_one", rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth that is left at the deadline.
-    #[serde(default = "late_share")]
-    pub late_share: f64,
+    #[serde(default = "late_share", rename = "late_share")]
+    pub late_value_ratio: f64,
 }
 
 impl ClassSpec {
     /// Worth of a message delivered at this age, in seconds: all of it within the latency objective, then falling
     /// linearly to `late_share` at the deadline.
-    pub fn worth_at(&self, age: f64) -> f64 {
-        let late = ((age - self.aim) / (self.deadline - self.aim).max(0.001)).clamp(0.0, 1.0);
-        self.worth * (1.0 - (1.0 - self.late_share) * late)
+    pub fn value_at(&self, age: f64) -> f64 {
+        let late = ((age - self.latency_objective) / (self.deadline - self.latency_objective).max(0.001))
+            .clamp(0.0, 1.0);
+        self.priority_weight * (1.0 - (1.0 - self.late_value_ratio) * late)
     }
 
     /// The class as the gateways' settings state it.
     fn class(&self) -> Class {
         Class {
-            latency_objective: span(self.aim),
-            deadline: span(self.deadline),
+            latency_objective: duration_from_secs(self.latency_objective),
+            deadline: duration_from_secs(self.deadline),
             effect: match self.effect.as_str() {
                 "safe" => Effect::Safe,
                 "keyed" => Effect::Keyed,
                 _ => Effect::Unsafe,
             },
             group: if self.group == "zone" { Group::Zone } else { Group::All },
-            retry_window: span(self.window),
-            ordered: self.in_order,
-            priority_weight: self.worth,
-            late_value_ratio: self.late_share,
+            retry_window: duration_from_secs(self.retry_window),
+            ordered: self.ordered,
+            priority_weight: self.priority_weight,
+            late_value_ratio: self.late_value_ratio,
         }
     }
 }
@@ -145,11 +153,11 @@
 
 /// The longest time in which a partner drops repeats, over all classes.
 pub(crate) fn longest_retry_window(specs: &BTreeMap<String, ClassSpec>) -> Duration {
-    span(specs.values().map(|class| class.window).fold(0.0, f64::max))
+    duration_from_secs(specs.values().map(|class| class.retry_window).fold(0.0, f64::max))
 }
 
 /// A time setting as a duration; negative ones are zero.
-pub(crate) fn span(seconds: f64) -> Duration {
+pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
 
@@ -161,7 +169,7 @@
     200
 }
 
-pub(crate) fn one() -> f64 {
+pub(crate) fn default_one() -> f64 {
     1.0
 }
 
--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -34,9 +34,9 @@
 fn site_collapse_is_reported_as_a_violation() {
     let mut scenario = built_in("surge");
     // Gateways have the same figure in their settings, but cannot keep to so little.
-    scenario.rules.tip_multiple = 0.02;
+    scenario.rules.overload_multiple = 0.02;
     let run = simulate_failover(&scenario, SpilloverPolicy::NoSpillover, 5);
-    assert!(run.violations.pushed_over > 0, "{:?}", run.violations);
+    assert!(run.violations.collapsed_sites > 0, "{:?}", run.violations);
 }
 
 #[test]
--- a/crates/testbench/src/bin/cloverstile-testbench/scale.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scale.rs
@@ -48,7 +48,7 @@
 /// The scenario with another number of endpoints and the same load.
 fn scaled_scenario(endpoints: usize) -> Result<FailoverScenario, String> {
     let mut scenario = load_scenario(SCENARIO)?;
-    let factor = endpoints as f64 / scenario.endpoints() as f64;
+    let factor = endpoints as f64 / scenario.endpoint_count() as f64;
     for destination in scenario.destinations.values_mut() {
         destination.copies = ((destination.copies as f64 * factor).round() as usize).max(1);
     }
@@ -84,10 +84,10 @@
         let run = simulate_failover(&scenario, SpilloverPolicy::Planner, 1);
         let seconds = began.elapsed().as_secs_f64();
         Ok(ScaleMeasurement {
-            endpoints: scenario.endpoints(),
+            endpoints: scenario.endpoint_count(),
             gateways: scenario.instances,
             messages_per_second: run.messages.len() as f64 / seconds,
-            us_per_turn: seconds * 1e6 / run.turns.max(1) as f64,
+            us_per_turn: seconds * 1e6 / run.advance_calls.max(1) as f64,
             peak_memory_mib: peak_memory_mib(),
         })
     }
--- a/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
@@ -70,7 +70,7 @@
 
 fn parse_policy(name: &str) -> Result<SpilloverPolicy, String> {
     let names: Vec<&str> = SpilloverPolicy::ALL.into_iter().map(SpilloverPolicy::name).collect();
-    SpilloverPolicy::named(name).ok_or_else(|| format!("one of these is allowed: {}", names.join(", ")))
+    SpilloverPolicy::from_name(name).ok_or_else(|| format!("one of these is allowed: {}", names.join(", ")))
 }
 
 /// Reads a scenario by its name or from its file.
@@ -134,7 +134,7 @@
             second.submitted,
             value.earned / value.offered.max(1e-9),
             second.spilled,
-            second.lost,
+            second.undelivered,
             second.requests
         );
     }
@@ -144,12 +144,12 @@
     for window in &run.windows {
         println!(
             "site {} return {} after {} ms: received {} capacity {:.1} bound {:.1}",
-            window.site,
+            window.destination,
             window.recovery,
-            window.after.as_millis(),
+            window.since_recovery.as_millis(),
             window.received,
             window.capacity,
-            window.bound
+            window.collapse_bound
         );
     }
 }
--- a/crates/testbench/src/experiment.rs
+++ b/crates/testbench/src/experiment.rs
@@ -96,7 +96,7 @@
             return Ok(SpilloverPolicy::ALL.to_vec());
         }
         let kind = |name: &String| {
-            SpilloverPolicy::named(name).ok_or_else(|| ExperimentError::UnknownPolicy {
+            SpilloverPolicy::from_name(name).ok_or_else(|| ExperimentError::UnknownPolicy {
                 name: name.clone(),
                 known: SpilloverPolicy::ALL.into_iter().map(SpilloverPolicy::name).collect(),
             })
--- a/crates/testbench/src/experiment/record.rs
+++ b/crates/testbench/src/experiment/record.rs
@@ -80,7 +80,7 @@
 fn record_seconds(table: &mut Table, key: &RunKey, scenario: &FailoverScenario, run: &FailoverRun) {
     let values = value_by_second(scenario, run);
     for (number, (value, second)) in values.iter().zip(&run.seconds).enumerate() {
-        let spill_share = f64::from(second.spilled) / f64::from(second.tiered.max(1));
+        let spill_share = f64::from(second.spilled) / f64::from(second.multi_tier.max(1));
         table.push(
             &key.texts,
             &[
@@ -88,7 +88,7 @@
                 ("second", number as f64),
                 ("offered", value.offered),
                 ("earned", value.earned),
-                ("worth_delivered", second.worth),
+                ("worth_delivered", second.delivered_value),
                 ("spilt_of_handed", spill_share),
             ],
         );
@@ -107,8 +107,8 @@
     let mut windows: BTreeMap<u128, WindowLoad> = BTreeMap::new();
     for window in &run.windows {
         let received = f64::from(window.received);
-        let load = windows.entry(window.after.as_millis()).or_default();
-        load.fullest_of_bound = load.fullest_of_bound.max(received / window.bound.max(1.0));
+        let load = windows.entry(window.since_recovery.as_millis()).or_default();
+        load.fullest_of_bound = load.fullest_of_bound.max(received / window.collapse_bound.max(1.0));
         load.fullest_of_capacity = load.fullest_of_capacity.max(received / window.capacity.max(1.0));
         load.received += received;
     }
@@ -127,17 +127,17 @@
 }
 
 fn record_classes(table: &mut Table, key: &RunKey, scenario: &FailoverScenario, run: &FailoverRun) {
-    for (number, (name, class)) in scenario.class.iter().enumerate() {
+    for (number, (name, class)) in scenario.classes.iter().enumerate() {
         let mut messages = 0.0_f64;
         let mut ages: Vec<f64> = Vec::new();
         for message in run.messages.iter().filter(|message| usize::from(message.class) == number) {
             messages += 1.0;
-            if let Some((FinalOutcome::Delivered, at)) = message.answer {
+            if let Some((FinalOutcome::Delivered, at)) = message.outcome {
                 ages.push(at.saturating_sub(message.submitted_at).as_secs_f64());
             }
         }
         ages.sort_by(f64::total_cmp);
-        let late = ages.iter().filter(|age| **age > class.aim).count() as f64;
+        let late = ages.iter().filter(|age| **age > class.latency_objective).count() as f64;
         table.push(
             &[key.texts[0], key.texts[1], ("class", name)],
             &[
--- a/crates/testbench/src/fleet/gateway_config.rs
+++ b/crates/testbench/src/fleet/gateway_config.rs
@@ -30,9 +30,9 @@
         _ => "non_idempotent",
     };
     json!({
-        "Name": name, "Effect": effect, "Group": "all", "Aim": nanos(class.aim),
-        "Deadline": nanos(class.deadline), "RepeatWindow": nanos(class.window), "OneAtATime": false,
-        "Worth": class.worth, "LateShare": class.late_share,
+        "Name": name, "Effect": effect, "Group": "all", "Aim": nanos(class.latency_objective),
+        "Deadline": nanos(class.deadline), "RepeatWindow": nanos(class.retry_window), "OneAtATime": false,
+        "Worth": class.priority_weight, "LateShare": class.late_value_ratio,
     })
 }
 
@@ -59,9 +59,9 @@
             "Report": {"Fields": ["x0", "x1"], "Source": "piggyback"},
             "Permissions": {"MostHeld": scenario.max_queued, "SendCap": 8, "Cancel": true, "RetryAfter": true,
                 "MaxRetryAfter": nanos(5.0), "ConnIdle": nanos(scenario.connection_idle_timeout), "ConnectTimeout": nanos(1.0)},
-            "Rules": {"AnswerSlack": nanos(rules.answer_slack), "ColdFrom": rules.cold_from,
-                "Cold": nanos(rules.cold), "TipMultiple": rules.tip_multiple, "Fall": nanos(rules.fall),
-                "OrderSettle": nanos(rules.order_settle)},
+            "Rules": {"AnswerSlack": nanos(rules.outcome_grace), "ColdFrom": rules.warm_up_capacity,
+                "Cold": nanos(rules.warm_up_time), "TipMultiple": rules.overload_multiple, "Fall": nanos(rules.overload_window),
+                "OrderSettle": nanos(rules.key_cooldown)},
         })
     }
 }
--- a/crates/testbench/src/fleet/invariants.rs
+++ b/crates/testbench/src/fleet/invariants.rs
@@ -70,7 +70,7 @@
     fn from(spec: ClassSpec) -> ClassContract {
         let repeats = match spec.effect.as_str() {
             "safe" => RepeatRule::Harmless,
-            "keyed" => RepeatRule::Within(Duration::from_secs_f64(spec.window)),
+            "keyed" => RepeatRule::Within(Duration::from_secs_f64(spec.retry_window)),
             _ => RepeatRule::Forbidden,
         };
         let deadline = Duration::from_secs_f64(spec.deadline);
@@ -104,7 +104,7 @@
     /// A client has a message for a gateway; returns the message's number.
     pub fn on_submission(&mut self, now: Duration, gateway: usize, partner: usize, class: usize) -> usize {
         let contract = &self.classes[class];
-        self.run.offered_value += contract.spec.worth;
+        self.run.offered_value += contract.spec.priority_weight;
         self.run.record.messages += 1;
         self.messages.push(TrackedMessage {
             partner,
@@ -227,7 +227,7 @@
         match outcome {
             FinalOutcome::Delivered => {
                 let age = (now - message.submitted_at).as_secs_f64();
-                self.run.delivered_value += self.classes[message.class].spec.worth_at(age);
+                self.run.delivered_value += self.classes[message.class].spec.value_at(age);
                 self.run.outcome_counts[0] += 1;
             }
             FinalOutcome::Rejected => {
--- a/crates/testbench/src/fleet/invariants/tests.rs
+++ b/crates/testbench/src/fleet/invariants/tests.rs
@@ -12,13 +12,13 @@
         share: 1.0,
         effect: effect.into(),
         group: "all".into(),
-        in_order: false,
-        keys: 1,
-        aim: 1.0,
+        ordered: false,
+        order_keys: 1,
+        latency_objective: 1.0,
         deadline: 5.0,
-        window: 2.0,
-        worth: 1.0,
-        late_share: 0.5,
+        retry_window: 2.0,
+        priority_weight: 1.0,
+        late_value_ratio: 0.5,
     };
     InvariantTracker::new([class])
 }
--- a/crates/testbench/src/simulation_metrics.rs
+++ b/crates/testbench/src/simulation_metrics.rs
@@ -69,16 +69,16 @@
 
 fn value_of(scenario: &FailoverScenario, message: &MessageHistory) -> Value {
     // Classes are numbered in the order of their names.
-    let Some(class) = scenario.class.values().nth(usize::from(message.class)) else {
+    let Some(class) = scenario.classes.values().nth(usize::from(message.class)) else {
         return Value::default();
     };
-    let earned = match message.answer {
+    let earned = match message.outcome {
         Some((FinalOutcome::Delivered, at)) => {
-            class.worth_at(at.saturating_sub(message.submitted_at).as_secs_f64())
+            class.value_at(at.saturating_sub(message.submitted_at).as_secs_f64())
         }
         _ => 0.0,
     };
-    Value { offered: class.worth, earned }
+    Value { offered: class.priority_weight, earned }
 }
 
 /// Value of the messages by the second of their submission.
@@ -117,12 +117,13 @@
     /// The metrics of a run.
     pub fn new(scenario: &FailoverScenario, run: &FailoverRun) -> SimulationMetrics {
         let seconds = value_by_second(scenario, run);
-        let last_return = run.windows.iter().map(|window| window.at - window.after).max();
+        let last_return = run.windows.iter().map(|window| window.start - window.since_recovery).max();
         let is_delivered =
-            |message: &&MessageHistory| matches!(message.answer, Some((FinalOutcome::Delivered, _)));
+            |message: &&MessageHistory| matches!(message.outcome, Some((FinalOutcome::Delivered, _)));
         let delivered = run.messages.iter().filter(is_delivered).count();
         let most = |of: fn(&RecoveryWindow) -> f64| run.windows.iter().map(of).fold(0.0, f64::max);
-        let is_over_bound = |window: &&RecoveryWindow| f64::from(window.received) > window.bound.max(1.0);
+        let is_over_bound =
+            |window: &&RecoveryWindow| f64::from(window.received) > window.collapse_bound.max(1.0);
         let audit = &run.violations;
         SimulationMetrics {
             messages: run.messages.len(),
@@ -132,20 +133,20 @@
             full_service_s: last_return.and_then(|since| time_to_full_service(&seconds, since)),
             windows: run.windows.len(),
             windows_over_bound: run.windows.iter().filter(is_over_bound).count(),
-            worst_of_bound: most(|window| f64::from(window.received) / window.bound.max(1.0)),
+            worst_of_bound: most(|window| f64::from(window.received) / window.collapse_bound.max(1.0)),
             worst_of_capacity: most(|window| f64::from(window.received) / window.capacity.max(1.0)),
             worst_spill: worst_spill(scenario, run),
             spill_excess: spill_excess(scenario, run),
             spilled: run.seconds.iter().map(|second| u64::from(second.spilled)).sum(),
             violations: audit.total(),
             violations_by_kind: [
-                audit.unanswered,
-                audit.late_or_untrue,
-                audit.twice,
+                audit.missing_or_extra_outcomes,
+                audit.late_or_wrong_outcomes,
+                audit.repeated_effects,
                 audit.out_of_order,
-                audit.after_drain,
-                audit.pushed_over,
-                audit.waits_broken,
+                audit.sends_after_drain,
+                audit.collapsed_sites,
+                audit.early_retries,
             ],
             requests: run.requests,
         }
@@ -182,7 +183,7 @@
         .collect();
     let mut seconds = vec![SpillSecond::default(); run.seconds.len() + 1];
     for message in run.messages.iter().filter(|message| spilling.contains(&message.destination)) {
-        let completed_at = message.answer.map_or(message.deadline, |(_, at)| at);
+        let completed_at = message.outcome.map_or(message.deadline, |(_, at)| at);
         let until = message.spilled_at.map_or(completed_at, |at| at.min(completed_at));
         for second in message.submitted_at.as_secs()..=until.as_secs() {
             if let Some(second) = seconds.get_mut(second as usize) {
@@ -202,7 +203,7 @@
 fn spill_excess(scenario: &FailoverScenario, run: &FailoverRun) -> f64 {
     let shares = spill_shares(scenario);
     let first_fault = scenario.faults.values().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
-    let longest = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
+    let longest = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
     // Times at which a message was submitted (false) or spilled (true), by gateway and destination.
     let mut events: BTreeMap<(u32, u32), Vec<(Duration, bool)>> = BTreeMap::new();
     for message in &run.messages {
