--- a/crates/as2-gateway/src/failover_setup.rs
+++ b/crates/as2-gateway/src/failover_setup.rs
@@ -22,8 +22,10 @@
 pub(crate) fn new_failover_planner(config: &Config, seed: u64, since_epoch: Duration) -> FailoverPlanner {
     let instances = config.policy.instance_count.max(1);
     let tiered_partners = config.partners.iter().enumerate().filter(|(_, partner)| partner.tiers.len() > 1);
-    let tiers = tiered_partners.map(|(number, partner)| TierConfig {
-        destinations: (0..partner.tiers.len()).map(|tier| tier_destination(config, number, tier)).collect(),
+    let tiers = tiered_partners.map(|(partner_index, partner)| TierConfig {
+        destinations: (0..partner.tiers.len())
+            .map(|tier| tier_destination(config, partner_index, tier))
+            .collect(),
         zones: partner.tiers.iter().map(|tier| ZoneId(tier.zone)).collect(),
         capacities: partner.tiers.iter().map(|tier| tier.rate).collect(),
         spill_share: partner.spill_share,
--- a/crates/as2-gateway/src/outbound_client.rs
+++ b/crates/as2-gateway/src/outbound_client.rs
@@ -403,11 +403,11 @@
     let partner = &context.config.partners[in_flight.partner];
     let security = security_for(partner, receipts_url);
     let certificate = context.directory.partners[in_flight.partner].clone();
-    let (identity, addressee_name) = (context.directory.own_identity.clone(), partner.as2_name.clone());
+    let (identity, recipient_name) = (context.directory.own_identity.clone(), partner.as2_name.clone());
     context.crypto_pool.submit(move || {
         let outgoing = OutgoingMessage { message_id: &message_id, payload: &payload, subject: None };
-        let addressee = Recipient { name: &addressee_name, certificate: &certificate };
-        let composed = compose(&outgoing, &identity, addressee, &security).map(Box::new);
+        let recipient = Recipient { name: &recipient_name, certificate: &certificate };
+        let composed = compose(&outgoing, &identity, recipient, &security).map(Box::new);
         WorkerResult::MessageComposed { message, composed }
     });
 }
--- a/crates/as2-gateway/src/service.rs
+++ b/crates/as2-gateway/src/service.rs
@@ -327,7 +327,7 @@
         }
     }
 
-    // ---- Settings ----
+    // ---- Endpoints and reloading of the settings ----
 
     /// Passes the endpoints in the settings to the engine.
     fn update_endpoints(&mut self) {
--- a/crates/as2/src/error.rs
+++ b/crates/as2/src/error.rs
@@ -2,8 +2,7 @@
 
 use thiserror::Error;
 
-/// An error in composing, opening or parsing. Its text names the affected element and contains no
-/// secrets.
+/// An error in composing, opening or parsing. Its text names the affected element and contains no secrets.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum As2Error {
     /// A required header field is missing.
--- a/crates/as2/src/keys.rs
+++ b/crates/as2/src/keys.rs
@@ -105,6 +105,7 @@
         (validity.not_before.to_unix_duration().as_secs(), validity.not_after.to_unix_duration().as_secs())
     }
 
+    /// The public key to encrypt content keys with; an error unless it is RSA.
     pub(crate) fn encrypting_key(&self) -> Result<PublicEncryptingKey, As2Error> {
         match self.kind {
             KeyKind::Rsa => PublicEncryptingKey::from_der(&self.spki)
@@ -113,11 +114,13 @@
         }
     }
 
+    /// Whether a recipient identifier (issuer and serial number) refers to this certificate.
     pub(crate) fn matches(&self, rid: &cms::cert::IssuerAndSerialNumber) -> bool {
         let own = &self.x509.tbs_certificate;
         own.serial_number == rid.serial_number && own.issuer == rid.issuer
     }
 
+    /// The identifier of this certificate in CMS structures.
     pub(crate) fn issuer_and_serial(&self) -> cms::cert::IssuerAndSerialNumber {
         let own = &self.x509.tbs_certificate;
         cms::cert::IssuerAndSerialNumber {
--- a/crates/as2/src/message.rs
+++ b/crates/as2/src/message.rs
@@ -158,10 +158,10 @@
     Ok(Part { headers, body })
 }
 
-/// A part that carries a CMS structure; `kind` is its `smime-type`.
-fn cms_part(kind: &str, body: Vec<u8>) -> Part {
+/// A part that carries a CMS structure of the given `smime-type`.
+fn cms_part(smime_type: &str, body: Vec<u8>) -> Part {
     let headers = Headers::new()
-        .with("Content-Type", format!("application/pkcs7-mime; smime-type={kind}; name=\"smime.p7m\""))
+        .with("Content-Type", format!("application/pkcs7-mime; smime-type={smime_type}; name=\"smime.p7m\""))
         .with("Content-Transfer-Encoding", "binary")
         .with("Content-Disposition", "attachment; filename=\"smime.p7m\"");
     Part { headers, body }
@@ -353,9 +353,9 @@
         identity: &Identity,
         from: &Certificate,
     ) -> Result<Option<Part>, As2Error> {
-        let kind = part.content_type();
-        match kind.media_type.as_str() {
-            "multipart/signed" => self.remove_signature(part, &kind, from).map(Some),
+        let content_type = part.content_type();
+        match content_type.media_type.as_str() {
+            "multipart/signed" => self.remove_signature(part, &content_type, from).map(Some),
             "application/pkcs7-mime" | "application/x-pkcs7-mime" => {
                 let bytes = part.decoded()?;
                 let inner = match secure::content_kind(&bytes)? {
@@ -397,11 +397,12 @@
     fn remove_signature(
         &mut self,
         part: &Part,
-        kind: &ContentType,
+        content_type: &ContentType,
         from: &Certificate,
     ) -> Result<Part, As2Error> {
-        let boundary =
-            kind.parameter("boundary").ok_or(As2Error::Mime("multipart/signed without a boundary"))?;
+        let boundary = content_type
+            .parameter("boundary")
+            .ok_or(As2Error::Mime("multipart/signed without a boundary"))?;
         let parts = split_multipart(&part.body, boundary)?;
         let [content, signature] = parts[..] else {
             return Err(As2Error::Mime("multipart/signed needs two parts"));
--- a/crates/as2/src/receipt.rs
+++ b/crates/as2/src/receipt.rs
@@ -32,10 +32,13 @@
     /// Parses the value of `Disposition`, ignoring case and spacing; `None` if the disposition type is unknown.
     fn parse(value: &str) -> Option<Disposition> {
         let disposition = value.split_once(';').map_or(value, |(_, rest)| rest).trim();
-        let (kind, modifier) = disposition.split_once('/').unwrap_or((disposition, ""));
+        let (disposition_type, modifier) = disposition.split_once('/').unwrap_or((disposition, ""));
         let (modifier, text) = modifier.split_once(':').unwrap_or((modifier, ""));
         let text = text.trim().to_owned();
-        match (kind.trim().to_ascii_lowercase().as_str(), modifier.trim().to_ascii_lowercase().as_str()) {
+        match (
+            disposition_type.trim().to_ascii_lowercase().as_str(),
+            modifier.trim().to_ascii_lowercase().as_str(),
+        ) {
             ("processed", "") => Some(Disposition::Processed),
             ("processed", "warning") => Some(Disposition::Warning(text)),
             ("processed", _) => Some(Disposition::Error(text)),
@@ -123,8 +126,9 @@
     body.extend_from_slice(b"Content-Type: message/disposition-notification\r\n\r\n");
     body.extend_from_slice(&notification);
     body.extend_from_slice(format!("\r\n--{boundary}--\r\n").as_bytes());
-    let kind = format!("multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"");
-    let report = Part { headers: Headers::new().with("Content-Type", kind), body };
+    let content_type =
+        format!("multipart/report; report-type=disposition-notification; boundary=\"{boundary}\"");
+    let report = Part { headers: Headers::new().with("Content-Type", content_type), body };
     let digest = sign.unwrap_or(Digest::Sha256);
     let part = match sign {
         Some(digest) => signed_part(&report.to_bytes(), from, digest)?,
@@ -193,9 +197,9 @@
     content.add("Content-Type", headers.get("content-type").ok_or(As2Error::Missing("Content-Type"))?);
     let mut part = Part { headers: content, body: body.to_vec() };
     let mut signed = false;
-    let kind = part.content_type();
-    if kind.media_type == "multipart/signed" {
-        let parts = split_multipart(&part.body, boundary_of(&kind)?)?;
+    let content_type = part.content_type();
+    if content_type.media_type == "multipart/signed" {
+        let parts = split_multipart(&part.body, boundary_of(&content_type)?)?;
         let [report, signature] = parts[..] else {
             return Err(As2Error::Mime("multipart/signed needs two parts"));
         };
@@ -204,11 +208,11 @@
         signed = true;
         part = Part::parse(report)?;
     }
-    let kind = part.content_type();
-    if kind.media_type != "multipart/report" {
+    let content_type = part.content_type();
+    if content_type.media_type != "multipart/report" {
         return Err(As2Error::Mime("a receipt must be a multipart/report"));
     }
-    for entity in split_multipart(&part.body, boundary_of(&kind)?)? {
+    for entity in split_multipart(&part.body, boundary_of(&content_type)?)? {
         let entity = Part::parse(entity)?;
         if entity.content_type().media_type == "message/disposition-notification" {
             return parse_notification(&entity, signed);
@@ -217,8 +221,8 @@
     Err(As2Error::Mime("a report without a disposition notification"))
 }
 
-fn boundary_of(kind: &ContentType) -> Result<&str, As2Error> {
-    kind.parameter("boundary").ok_or(As2Error::Mime("a multipart without a boundary"))
+fn boundary_of(content_type: &ContentType) -> Result<&str, As2Error> {
+    content_type.parameter("boundary").ok_or(As2Error::Mime("a multipart without a boundary"))
 }
 
 fn parse_notification(entity: &Part, signed: bool) -> Result<Receipt, As2Error> {
--- a/crates/as2/tests/messages.rs
+++ b/crates/as2/tests/messages.rs
@@ -114,7 +114,7 @@
     let parse = |bytes: &[u8]| Part::parse(bytes).unwrap();
     for (name, bytes, from) in [
         ("detached", &data!("signed.eml")[..], &*RSA_IDENTITY),
-        ("probabilistic padding", data!("pss.eml"), &*RSA_IDENTITY),
+        ("RSASSA-PSS", data!("pss.eml"), &*RSA_IDENTITY),
         ("opaque, indefinite lengths", data!("opaque.eml"), &*P256_IDENTITY),
     ] {
         let message = parse(bytes);
@@ -124,18 +124,18 @@
         assert_eq!(opened.payload.body, b"ISA*00*salary*42~\r\n", "{name}");
         assert_eq!(opened.mic.value, opened.mic.digest.of(part), "{name}");
     }
-    let kind = Headers::new().with("CONTENT-TYPE", "application/x-pkcs7-mime; smime-type=enveloped-data");
+    let headers = Headers::new().with("CONTENT-TYPE", "application/x-pkcs7-mime; smime-type=enveloped-data");
     for (name, bytes) in [
-        ("cbc, pieces of indefinite length", &data!("enc-ber.p7m")[..]),
-        ("gcm, pieces of indefinite length", data!("gcm-ber.p7m")),
-        ("oaep", data!("oaep.p7m")),
-        ("zlib, pieces of indefinite length", data!("zip-ber.p7m")),
+        ("CBC, segments of indefinite length", &data!("enc-ber.p7m")[..]),
+        ("GCM, segments of indefinite length", data!("gcm-ber.p7m")),
+        ("OAEP", data!("oaep.p7m")),
+        ("zlib, segments of indefinite length", data!("zip-ber.p7m")),
     ] {
-        let opened = open(&kind, bytes, &RSA_IDENTITY, &RSA_IDENTITY.certificate, None).expect(name);
+        let opened = open(&headers, bytes, &RSA_IDENTITY, &RSA_IDENTITY.certificate, None).expect(name);
         assert_eq!(opened.payload.body, b"ISA*00*salary*42~\r\n", "{name}");
         assert_eq!(opened.mic.value, Digest::Sha256.of(part), "{name}");
         let lines = base64_in_lines(bytes);
-        let encoded = kind.clone().with("Content-Transfer-Encoding", "Base64");
+        let encoded = headers.clone().with("Content-Transfer-Encoding", "Base64");
         assert!(
             open(&encoded, lines.as_bytes(), &RSA_IDENTITY, &RSA_IDENTITY.certificate, None).is_ok(),
             "{name} in base64"
@@ -331,12 +331,12 @@
     #[test]
     fn random_bytes_never_panic(
         body in proptest::collection::vec(any::<u8>(), 0..300),
-        kind in prop::sample::select(vec![
+        content_type in prop::sample::select(vec![
             "application/pkcs7-mime", "multipart/signed; boundary=a", "multipart/report; boundary=\"a\"", "text/plain",
         ]),
         encoding in prop::sample::select(vec!["base64", "quoted-printable", "binary"]),
     ) {
-        let headers = Headers::new().with("Content-Type", kind).with("Content-Transfer-Encoding", encoding);
+        let headers = Headers::new().with("Content-Type", content_type).with("Content-Transfer-Encoding", encoding);
         let _ = open(&headers, &body, &RSA_IDENTITY, &P256_IDENTITY.certificate, None);
         let _ = read_receipt(&headers, &body, &P256_IDENTITY.certificate);
         let _ = Part::parse(&body);
--- a/crates/cli/src/send.rs
+++ b/crates/cli/src/send.rs
@@ -162,9 +162,9 @@
             receipt: Some(ReceiptRequest { deliver_to: None, signed: vec![Digest::Sha256] }),
             ..Security::default()
         };
-        let addressee = Recipient { name: &self.to, certificate: &gateway };
+        let recipient = Recipient { name: &self.to, certificate: &gateway };
         let outgoing = OutgoingMessage { message_id: id, payload: &payload, subject: None };
-        let composed = compose(&outgoing, &identity, addressee, &security)
+        let composed = compose(&outgoing, &identity, recipient, &security)
             .map_err(|error| SendError::settings(error.to_string()))?;
         let response = self.post(address, &path, &composed)?;
         interpret(&response, id, &composed, &gateway)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -245,7 +245,7 @@
         self.state.notify_policy(now, Event::ProbeCompleted { endpoint, outcome, latency });
     }
 
-    // ---- Time ----
+    // ---- Pausing, shutdown and time-outs ----
 
     /// Pauses or resumes sending. While paused, no new attempt is sent; attempts in flight end as usual.
     pub fn set_sending_paused(&mut self, paused: bool) {
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -53,7 +53,7 @@
     Delivered,
     /// The message did not take effect. It may be resubmitted, preferably after this time.
     Rejected(Duration),
-    /// The message may have taken effect.
+    /// No receipt confirmed the message in time, and it may have taken effect.
     Failed,
     /// The message was cancelled: nobody waits for its outcome.
     Cancelled,
@@ -73,7 +73,7 @@
 pub enum TransportOutcome {
     /// The partner sent a valid receipt that reports the message as processed.
     Processed,
-    /// The receipt reports anything else or is invalid, or the response is not a receipt.
+    /// The partner's receipt reports an error or a failure or is invalid, or its response is not a receipt.
     Error,
     /// The partner rejected the message without processing it, with the `Retry-After` time if it sent one.
     Rejected(Option<Duration>),
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -17,6 +17,7 @@
     Duration::from_millis(count)
 }
 
+/// Indexes of the classes in [`settings`], named after their effects.
 const UNSAFE: u8 = 0;
 const KEYED: u8 = 1;
 const SAFE: u8 = 2;
@@ -38,6 +39,7 @@
     Endpoint { id: EndpointId(id), zone, kind, destination, state, weight: 50.0 }
 }
 
+/// An engine with two ready endpoints of one destination, and the current time.
 struct Harness {
     engine: Engine,
     now: Time,
@@ -145,11 +147,13 @@
     harness.engine.on_receipt(harness.now, id, TransportOutcome::Processed);
     harness.engine.on_receipt(harness.now, id, TransportOutcome::Processed);
     let commands = harness.advance();
-    let delivered =
-        commands.iter().filter(|e| matches!(e, Command::Complete { outcome: FinalOutcome::Delivered, .. }));
+    let delivered = commands
+        .iter()
+        .filter(|command| matches!(command, Command::Complete { outcome: FinalOutcome::Delivered, .. }));
     assert_eq!(delivered.count(), 1, "{commands:?}");
-    let retry =
-        harness.advance_until(Duration::from_secs(30), |e| matches!(e, Command::Send { .. }).then_some(()));
+    let retry = harness.advance_until(Duration::from_secs(30), |command| {
+        matches!(command, Command::Send { .. }).then_some(())
+    });
     assert_eq!((retry, harness.engine.pending_messages()), (None, 0));
 }
 
@@ -241,7 +245,7 @@
 impl InvariantChecker {
     /// Runs one random step of kind 0 to 11; `pick` determines its details, such as the message or the endpoint state.
     fn step(&mut self, kind: u8, pick: u16) {
-        let attempts: Vec<Attempt> = self.messages.values().filter_map(|s| s.in_flight).collect();
+        let attempts: Vec<Attempt> = self.messages.values().filter_map(|state| state.in_flight).collect();
         let in_flight = (!attempts.is_empty()).then(|| attempts[usize::from(pick) % attempts.len()]);
         match kind {
             0..=3 => self.submit(pick),
@@ -276,10 +280,10 @@
         let Some(attempt) = in_flight else { return };
         let now = self.harness.now;
         self.harness.engine.on_attempt_completed(now, attempt, outcome, None);
-        if let Some(s) = self.messages.get_mut(&attempt.message) {
-            s.in_flight = None;
+        if let Some(state) = self.messages.get_mut(&attempt.message) {
+            state.in_flight = None;
             if !matches!(outcome, TransportOutcome::Rejected(_) | TransportOutcome::ConnectFailed) {
-                s.may_have_run_at.get_or_insert(now);
+                state.may_have_run_at.get_or_insert(now);
             }
         }
     }
@@ -297,9 +301,9 @@
                 attempts.into_iter().for_each(|attempt| self.check_sent(attempt));
             }
             Command::Abandon { attempt, .. } => {
-                let s = self.messages.get_mut(&attempt.message).unwrap();
-                s.in_flight = None;
-                s.may_have_run_at.get_or_insert(now);
+                let state = self.messages.get_mut(&attempt.message).unwrap();
+                state.in_flight = None;
+                state.may_have_run_at.get_or_insert(now);
             }
             Command::Complete { message, outcome, .. } => self.check_completed(message, outcome),
             _ => {}
@@ -308,30 +312,33 @@
 
     fn check_sent(&mut self, attempt: Attempt) {
         let now = self.harness.now;
-        let s = self.messages.get_mut(&attempt.message).unwrap();
-        assert!(!s.completed, "message sent after its outcome");
-        assert!(s.in_flight.is_none(), "second attempt in flight");
+        let state = self.messages.get_mut(&attempt.message).unwrap();
+        assert!(!state.completed, "message sent after its outcome");
+        assert!(state.in_flight.is_none(), "second attempt in flight");
         assert!(
-            s.class != UNSAFE || s.may_have_run_at.is_none(),
+            state.class != UNSAFE || state.may_have_run_at.is_none(),
             "unsafe message sent again after it may have run"
         );
-        if let (KEYED, Some(ran)) = (s.class, s.may_have_run_at) {
+        if let (KEYED, Some(ran)) = (state.class, state.may_have_run_at) {
             assert!(now < ran + Duration::from_secs(10), "sent outside the retry window");
         }
-        s.in_flight = Some(attempt);
+        state.in_flight = Some(attempt);
     }
 
     fn check_completed(&mut self, message: MessageId, outcome: FinalOutcome) {
         let now = self.harness.now;
-        let s = self.messages.get_mut(&message).unwrap();
-        assert!(!std::mem::replace(&mut s.completed, true), "second outcome");
+        let state = self.messages.get_mut(&message).unwrap();
+        assert!(!std::mem::replace(&mut state.completed, true), "second outcome");
         assert!(
-            now <= s.deadline + settings().rules.outcome_grace,
+            now <= state.deadline + settings().rules.outcome_grace,
             "outcome after the deadline and its grace time"
         );
         if let FinalOutcome::Rejected(_) = outcome {
-            let cannot_have_run = s.may_have_run_at.is_none() && s.in_flight.is_none();
-            assert!(s.class == SAFE || cannot_have_run, "rejected although it may have run or may still run");
+            let cannot_have_run = state.may_have_run_at.is_none() && state.in_flight.is_none();
+            assert!(
+                state.class == SAFE || cannot_have_run,
+                "rejected although it may have run or may still run"
+            );
         }
     }
 
@@ -379,7 +386,7 @@
             let Some(at) = checker.harness.engine.next_timeout() else { break };
             checker.advance_at(at);
         }
-        prop_assert!(checker.messages.values().all(|s| s.completed));
+        prop_assert!(checker.messages.values().all(|state| state.completed));
         prop_assert_eq!(checker.harness.engine.counters().forced_completions, 0);
     }
 }
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -222,7 +222,7 @@
             return;
         }
         if message.gateway != Some(gateway) {
-            // Another gateway is another addressee, and knows nothing of what the one before did.
+            // A message is composed for one gateway, and another gateway does not know what the previous one did with it.
             message.composed = None;
             message.after_loss |= message.possibly_accepted;
         }
@@ -262,7 +262,7 @@
         if self.messages.get(index).composed.is_some() {
             return;
         }
-        let addressee = Recipient {
+        let recipient = Recipient {
             name: &self.gateways.names[gateway],
             certificate: &self.gateways.certificates[gateway],
         };
@@ -271,7 +271,7 @@
             receipt.deliver_to.clone_from(&self.receipt_url);
         }
         let message = self.messages.get_mut(index);
-        message.composed = exchange::compose_message(message, self.identity, addressee, &security);
+        message.composed = exchange::compose_message(message, self.identity, recipient, &security);
     }
 
     /// A connection ended before its response came. `sent`: the gateway may have the message.
--- a/crates/fakes/src/partner/receipts.rs
+++ b/crates/fakes/src/partner/receipts.rs
@@ -46,7 +46,7 @@
     let requested = envelope.receipt.and_then(|receipt| receipt.signed.first().copied());
     let digest = requested.filter(|digest| *digest != Digest::Sha1);
     let receipt_id = format!("receipt.{}", envelope.message_id);
-    let facts = ReceiptContent {
+    let content = ReceiptContent {
         receipt_id: &receipt_id,
         to: &envelope.from,
         original_id: &envelope.message_id,
@@ -59,7 +59,7 @@
         Some(ResponseFault::WrongSigner) => signer.other.unwrap_or(signer.identity),
         _ => signer.identity,
     };
-    let receipt = compose_receipt(&facts, identity, digest).ok();
+    let receipt = compose_receipt(&content, identity, digest).ok();
     Some(ComposedReceipt { message_id: envelope.message_id, opened: is_opened, receipt })
 }
 
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -76,22 +76,22 @@
         if body.len().saturating_add(size) > limits.max_body_bytes {
             return Err(HttpError::LimitExceeded("body", limits.max_body_bytes));
         }
-        let data = offset + line.len() + 2;
+        let data_start = offset + line.len() + 2;
         if size == 0 {
-            match trailer_end(&buffer[data..], limits.max_head_bytes)? {
-                Some(end) => offset = data + end,
+            match trailer_end(&buffer[data_start..], limits.max_head_bytes)? {
+                Some(end) => offset = data_start + end,
                 None => break false,
             }
             break true;
         }
-        if buffer.len() < data + size + 2 {
+        if buffer.len() < data_start + size + 2 {
             break false;
         }
-        if &buffer[data + size..data + size + 2] != b"\r\n" {
+        if &buffer[data_start + size..data_start + size + 2] != b"\r\n" {
             return Err(HttpError::MalformedChunk("data does not end where its size says"));
         }
-        body.extend_from_slice(&buffer[data..data + size]);
-        offset = data + size + 2;
+        body.extend_from_slice(&buffer[data_start..data_start + size]);
+        offset = data_start + size + 2;
     };
     buffer.drain(..offset);
     Ok(is_complete)
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -19,7 +19,8 @@
     pub socket: Rc<TcpListener>,
     /// The registration token of the event source in the event loop.
     pub token: RegistrationToken,
-    /// Accepting failed, for example for lack of file descriptors; it is retried in the next poll.
+    /// Accepting failed, for example for lack of file descriptors. The event loop does not watch the socket until the
+    /// next poll resumes it.
     pub paused: bool,
     /// Whether accepted connections stay open for writing after the peer shuts down its write side.
     pub allow_half_open: bool,
--- a/crates/net/src/net.rs
+++ b/crates/net/src/net.rs
@@ -215,7 +215,7 @@
     /// Closes a connection so that the peer sees a reset. No event follows.
     pub fn reset(&mut self, id: ConnId) {
         if let Some(connection) = self.connections.get(&id) {
-            // On failure the close is orderly instead of a reset, which is the lesser evil.
+            // On failure the connection closes in an orderly way instead of with a reset; the peer still sees its end.
             let _ = SockRef::from(&*connection.stream).set_linger(Some(Duration::ZERO));
         }
         self.close(id);
@@ -297,7 +297,7 @@
         read.end
     }
 
-    /// Waits for events, at most for `timeout`, and returns them; without a timeout, until something happens.
+    /// Waits until an event occurs or `timeout` expires, and returns the events. Without a timeout it waits indefinitely.
     ///
     /// # Errors
     /// The event loop's, if waiting has failed too many times in a row. Not expected while its file descriptors are valid.
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -116,8 +116,8 @@
     assert_eq!(reader.join().unwrap(), (b"+OK\r\n".to_vec(), true));
 }
 
-/// Loss of a response that was received before a reset. An endpoint rejects a request before it is complete and resets
-/// the connection, so that writing the rest of the request fails before the response is read.
+/// Guards against losing a response that was received before a reset. It happens when an endpoint rejects a request
+/// before it is complete and resets the connection: writing the rest of the request fails before the response is read.
 #[test]
 fn received_bytes_are_reported_when_a_write_fails_on_a_reset() {
     let mut net = Net::new().unwrap();
--- a/crates/settings/src/client.rs
+++ b/crates/settings/src/client.rs
@@ -13,7 +13,7 @@
     root.labelled_blocks("client").into_iter().filter_map(read).collect()
 }
 
-/// One client; none if its certificate is missing or its tenant is not defined.
+/// One client; `None` if its certificate is missing or its tenant is not defined.
 fn read_client(block: &Block, name: String, tenants: &[String]) -> Option<Client> {
     let certificate = block.required_string("certificate");
     let tenant = match block.string("tenant") {
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -17,7 +17,7 @@
     zones
 }
 
-/// Limit of requests per second into each zone, in the order of `zones`; none: unlimited.
+/// Limit of requests per second into each zone, in the order of `zones`; `None` if it is unlimited.
 pub(crate) fn read_zone_rates(root: &Block, zones: &[String]) -> Vec<Option<f64>> {
     let mut rates = vec![None; zones.len()];
     for (name, block) in root.labelled_blocks("zone") {
@@ -30,7 +30,7 @@
     rates
 }
 
-/// The gateway's AS2 identity; none if a required field is missing.
+/// The gateway's AS2 identity; `None` if a required field is missing.
 pub(crate) fn read_identity(gateway_block: &Block) -> Option<IdentityFiles> {
     let name = gateway_block.required_string("name");
     let key = gateway_block.required_string("key");
@@ -69,7 +69,7 @@
     )
 }
 
-/// The listener for AS2 messages; none if its block or address is missing or invalid.
+/// The listener for AS2 messages; `None` if its block or address is missing or invalid.
 pub(crate) fn read_listener(root: &Block) -> Option<Listener> {
     let block = root.single_block("front")?;
     let listener = Listener {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads all blocks; none where a required field is missing, in which case a problem was reported.
+/// Reads all blocks; `None` if a required field is missing, in which case a problem was reported.
 fn read_config(root: &Block) -> Option<Config> {
     let gateway_block = root.single_block("courier")?;
     let zones = gateway::read_zones(root, &gateway_block);
@@ -58,14 +58,15 @@
     let tenant_names = names(&tenants);
     let policy_kinds = policy::read_kinds(&kinds);
     let identity = gateway::read_identity(&gateway_block);
-    let rates = gateway::read_weight_source(&gateway_block);
-    let policy = policy::read_policy(root, &gateway_block, &zones, &classes, &tenants, policy_kinds, rates);
+    let weight_source = gateway::read_weight_source(&gateway_block);
+    let policy =
+        policy::read_policy(root, &gateway_block, &zones, &classes, &tenants, policy_kinds, weight_source);
     let limits = gateway::read_limits(&gateway_block);
     gateway_block.report_unknown();
     let listener = gateway::read_listener(root);
     let zone_rates = gateway::read_zone_rates(root, &zones);
     let clients = client::read_clients(root, &tenant_names);
-    let partners = partner::read_partners(root, &kind_names, &zones, rates);
+    let partners = partner::read_partners(root, &kind_names, &zones, weight_source);
     Some(Config {
         identity: identity?,
         policy: policy?,
--- a/crates/settings/src/partner.rs
+++ b/crates/settings/src/partner.rs
@@ -6,28 +6,28 @@
 use std::time::Duration;
 
 /// The valid partners; problems of the others are reported to the source. `kinds` and `zones` have all defined names,
-/// and `rates` tells whether a partner's rate is required.
+/// and `weight_source` tells whether a partner's rate is required.
 pub(crate) fn read_partners(
     root: &Block,
     kinds: &[String],
     zones: &[String],
-    rates: WeightSource,
+    weight_source: WeightSource,
 ) -> Vec<Partner> {
     let read = |(name, block): (String, Block)| {
-        let partner = read_partner(&block, name, kinds, zones, rates);
+        let partner = read_partner(&block, name, kinds, zones, weight_source);
         block.report_unknown();
         partner
     };
     root.labelled_blocks("partner").into_iter().filter_map(read).collect()
 }
 
-/// One partner; none if its certificate is missing or its kind is not defined.
+/// One partner; `None` if its certificate is missing or its kind is not defined.
 fn read_partner(
     block: &Block,
     name: String,
     kinds: &[String],
     zones: &[String],
-    rates: WeightSource,
+    weight_source: WeightSource,
 ) -> Option<Partner> {
     let certificate = block.required_string("certificate");
     let kind = match block.string("kind") {
@@ -35,7 +35,7 @@
         None => Some(0),
     };
     let rate = block.number("rate", 0.001, 1e9, 0.0);
-    if rates != WeightSource::Ignored && rate == 0.0 {
+    if weight_source != WeightSource::Ignored && rate == 0.0 {
         let advice =
             "set the calls a second that it takes from all couriers, or rates = \"none\" for the courier";
         block.report_attribute("rate", "is missing", advice);
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -70,8 +70,8 @@
         .collect()
 }
 
-/// The settings of the delivery policy, with default kinds if none are defined; none if the gateway's zone is not
-/// defined.
+/// The settings of the delivery policy, with default kinds if none are defined; `None` if the gateway's zone is
+/// not defined.
 pub(crate) fn read_policy(
     root: &Block,
     gateway_block: &Block,
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -52,7 +52,7 @@
 }
 
 impl Source {
-    /// `file` is its name in problems.
+    /// Creates a source without problems; `file` is the file name that problems report.
     pub fn new(file: &str, text: &str) -> Self {
         let ends = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at + 1);
         let line_starts = std::iter::once(0).chain(ends).collect();
@@ -162,7 +162,7 @@
         })
     }
 
-    /// An optional string converted by `read`; a problem with `advice` where `read` gives none.
+    /// An optional string converted by `read`; a problem with `advice` if `read` returns `None`.
     fn parsed_string<T>(&self, name: &str, read: impl Fn(&str) -> Option<T>, advice: &str) -> Option<T> {
         let text = self.string(name)?;
         let value = read(&text);
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The single block of this kind. More than one is a problem, and so is none, except that `rules` is optional.
+    /// The single block of this kind. More than one is a problem; so is a missing one, except that `rules` is optional.
     pub fn single_block(&self, kind: &'a str) -> Option<Block<'a>> {
         self.read_names.borrow_mut().insert(kind.to_owned());
         let mut blocks = self.body.get_blocks(kind);
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -19,10 +19,10 @@
     pub kinds: Vec<String>,
     /// Names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// Limit of requests per second into each zone, for all partners together, in the order of `zones`; none: unlimited.
-    /// Only `cloverstile plan` uses it.
+    /// Limit of requests per second into each zone, for all partners together, in the order of `zones`;
+    /// `None` if it is unlimited. Only `cloverstile plan` uses it.
     pub zone_rates: Vec<Option<f64>>,
-    /// Where clients submit messages and partners post deferred receipts.
+    /// Where clients submit messages and partners post asynchronous receipts.
     pub listener: Listener,
     /// Limits that the gateway enforces outside the delivery policy.
     pub limits: Limits,
@@ -41,7 +41,8 @@
     pub key: PathBuf,
     /// Path of the certificate in PEM.
     pub certificate: PathBuf,
-    /// Index of this gateway instance, from 0 and unique among all of them; none: drawn at random at each start.
+    /// Index of this gateway instance, from 0 and unique among all of them; `None` if it is drawn at random
+    /// at each start.
     pub instance_index: Option<u32>,
 }
 
@@ -60,12 +61,12 @@
     pub crypto_threads: usize,
 }
 
-/// The HTTP listener for AS2 messages and deferred receipts.
+/// The HTTP listener for AS2 messages and asynchronous receipts.
 #[derive(Clone, Debug)]
 pub struct Listener {
     /// Address to listen on; always present in validated settings.
     pub address: Option<SocketAddr>,
-    /// Path for messages; deferred receipts come to this path followed by `/receipts`.
+    /// Path for messages; asynchronous receipts come to this path followed by `/receipts`.
     pub path: String,
     /// Maximum number of simultaneous connections.
     pub max_connections: usize,
@@ -96,7 +97,7 @@
     pub requires_encryption: bool,
     /// Whether signatures with SHA-1 are accepted.
     pub accepts_sha1: bool,
-    /// Prefix that the URL for a deferred receipt must have; none: deferred receipts are not allowed.
+    /// Prefix that the URL for an asynchronous receipt must have; `None` if asynchronous receipts are not allowed.
     pub receipt_url_prefix: Option<String>,
 }
 
@@ -150,25 +151,26 @@
     pub kind: u16,
     /// Requests per second that it accepts from all gateways together; 0 where rates are unknown.
     pub rate: f64,
-    /// Peak demand in messages per second, from all gateways together; none: unknown. Only `cloverstile plan` uses it.
+    /// Peak demand in messages per second, from all gateways together; `None` if unknown. Only `cloverstile plan` uses
+    /// it.
     pub peak_demand: Option<f64>,
     /// Priority weight of a message for this partner, relative to messages for other partners.
     pub priority_weight: f64,
-    /// Digest for signing messages; none: they are not signed.
+    /// Digest for signing messages; `None` if they are not signed.
     pub signature_digest: Option<Digest>,
-    /// Cipher for messages; none: they are not encrypted.
+    /// Cipher for messages; `None` if they are not encrypted.
     pub content_cipher: Option<Cipher>,
     /// Whether messages are compressed before they are signed.
     pub compress: bool,
     /// The kind of receipt requested.
     pub receipt_mode: ReceiptMode,
-    /// Digest requested for the MIC in receipts; none: that of the signature, or SHA-256 without a signature.
+    /// Digest requested for the MIC in receipts; `None` for that of the signature, or SHA-256 without a signature.
     pub mic_digest: Option<Digest>,
     /// Failover tiers, the preferred one first; empty: no failover, all endpoints are equal.
     pub tiers: Vec<Tier>,
     /// Share of the messages for a lost tier that may spill over to the next one, from 0 to 1.
     pub spill_share: f64,
-    /// Messages per second, from all gateways together, that may spill over; none: only the share limits them.
+    /// Messages per second, from all gateways together, that may spill over; `None` if only the share limits them.
     pub spill_rate: Option<f64>,
     /// Time without a response after which a tier counts as lost.
     pub lost_after: Duration,
--- a/crates/wal/src/record.rs
+++ b/crates/wal/src/record.rs
@@ -1,6 +1,7 @@
 //! Record types of the log, and the message state that results from replaying them.
 
-/// Final state of a message that was not delivered. The platform must be notified of it.
+/// Final state of a message that was not delivered. The platform that hosts the gateway must be notified
+/// of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TerminalState {
     /// The message can't be delivered any more, but an attempt may have taken effect.
--- a/crates/wal/tests/log.rs
+++ b/crates/wal/tests/log.rs
@@ -10,7 +10,7 @@
 
 const CAPACITY_BYTES: u64 = 1 << 20;
 
-fn message(number: u32, body: usize) -> LiveMessage {
+fn message(number: u32, body_length: usize) -> LiveMessage {
     LiveMessage {
         id: format!("m{number}").into_bytes(),
         idempotency_key: number.is_multiple_of(2).then(|| b"key".to_vec()),
@@ -19,7 +19,7 @@
         order_key: u64::from(number % 3),
         submitted_at: 10,
         deadline: 20,
-        body: vec![number as u8; body],
+        body: vec![number as u8; body_length],
         ..LiveMessage::default()
     }
 }
@@ -123,14 +123,14 @@
     let (mut log, ..) = open(MemoryStore::default());
     let mut live = BTreeMap::new();
     for number in 1..6000u32 {
-        let body = (number as usize * 37) % 1500;
-        if log.has_room(body) {
+        let body_length = (number as usize * 37) % 1500;
+        if log.has_room(body_length) {
             log.record(Record::Submitted {
                 message_number: number,
-                message: Box::new(message(number, body)),
+                message: Box::new(message(number, body_length)),
             });
             log.record(Record::AttemptStarted { message_number: number, start: attempt_start(5) });
-            live.insert(number, body);
+            live.insert(number, body_length);
         }
         if number % 5 != 0 && number > 200 {
             log.record(Record::Completed { message_number: number - 200 });
@@ -369,8 +369,8 @@
     [&length[..], &crc32fast::hash(&checked).to_le_bytes(), &checked].concat()
 }
 
-/// Guards against recovering part of a batch: a message that was submitted and refused in the same turn would come back
-/// as a submitted one.
+/// Guards against recovering part of a batch: a message that was submitted and rejected in the same turn would come
+/// back as a live one.
 #[test]
 fn recovery_applies_no_record_of_a_truncated_batch() {
     let (mut log, ..) = open(MemoryStore::default());
