--- a/crates/load-metrics/src/balance.rs
+++ b/crates/load-metrics/src/balance.rs
@@ -1,4 +1,4 @@
-//! Metrics of balance: load of endpoints over their expected load.
+//! Balance metrics: the load of endpoints relative to their expected load.
 
 use crate::idle::idle_share;
 use crate::record::{LoadRecord, Outcome};
@@ -6,47 +6,50 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A window counts where its partner's calls come to so many for each endpoint: below, a single call is a peak.
+/// A window counts only if its partner received at least this number of calls per endpoint on average. With fewer, a
+/// single call would be a peak.
 const MIN_CALLS_PER_ENDPOINT: f64 = 4.0;
 
-/// Load of one endpoint in one window beside its expected load.
+/// Load and expected load of one endpoint in one window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowLoad {
-    /// Beginning of the window.
+    /// Start of the window, since the beginning of the run.
     pub window_start: Duration,
     /// Index of the endpoint in [`LoadRecord::endpoints`].
     pub endpoint: usize,
-    /// Calls that reached it.
+    /// Calls that reached the endpoint in the window.
     pub calls: u32,
-    /// Its part by weight of the calls that reached its partner in the window.
+    /// Its share, by weight and time in service, of the calls that reached its partner in the window.
     pub expected_load: f64,
 }
 
 impl WindowLoad {
-    /// Calls over expected calls; 1 is balanced.
+    /// Calls over expected calls; 1 is perfect balance.
     fn ratio(&self) -> f64 {
         f64::from(self.calls) / self.expected_load.max(1e-9)
     }
 }
 
-/// Balance of the load of endpoints.
+/// Balance of the load of all endpoints in a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct BalanceMetrics {
-    /// Load of the most loaded endpoint of a partner in a window over its expected load: the mean over windows by their
-    /// calls.
+    /// Highest load of a partner's endpoints in a window relative to the expected load: the mean over windows,
+    /// weighted by their calls.
     pub peak_over_mean: f64,
-    /// 99th percentile of an endpoint's load in a window over its expected load, weighted by expected calls.
+    /// 99th percentile of the load of an endpoint in a window relative to its expected load, weighted by expected load.
     pub p99: f64,
-    /// Jain's fairness index of load over expected load, over whole runs: the mean over partners by their calls.
+    /// Jain's fairness index of load over expected load in the whole run: the mean over partners, weighted by their
+    /// calls.
     pub jain: f64,
-    /// Share of the time in which an endpoint idles for longer than ten of its mean gaps while its partner is busy.
+    /// Share of the endpoints' time in service in gaps between calls of more than ten times the mean gap, measured in
+    /// calls to the partner, from 0 to 1.
     pub idle_share: f64,
-    /// Share of the calls that reach an endpoint within a mean service time after a call of another instance.
+    /// Share of the calls that reach an endpoint less than a mean response time after a call of another instance.
     #[serde(rename = "together")]
     pub collision_share: f64,
 }
 
-/// Computes the balance of a record in windows of this length.
+/// Computes the balance metrics of a record, with windows of this length.
 pub(crate) fn balance(record: &LoadRecord, window: Duration) -> BalanceMetrics {
     let loads = window_loads(record, window);
     let mut ratios: Vec<WeightedValue> =
@@ -61,7 +64,8 @@
     }
 }
 
-/// Loads by endpoint and window, of partners with several endpoints; windows with too few calls are left out.
+/// Loads by endpoint and window. Partners with fewer than two endpoints in service and windows with too few calls are
+/// left out.
 pub fn window_loads(record: &LoadRecord, window: Duration) -> Vec<WindowLoad> {
     let mut counts: BTreeMap<(usize, usize), BTreeMap<usize, u32>> = BTreeMap::new();
     for call in &record.calls {
@@ -73,7 +77,7 @@
     let mut loads = Vec::new();
     for ((partner, number), counts) in counts {
         let (from, until) = (window * number as u32, window * (number as u32 + 1));
-        // In proportion to the part of the window in which each endpoint was in service.
+        // Weighted by the time within the window in which the endpoint was in service.
         let weighted_time = |index: usize| {
             let endpoint = &record.endpoints[index];
             let in_service = endpoint.until.min(until).saturating_sub(endpoint.from.max(from));
@@ -96,13 +100,14 @@
     loads
 }
 
-/// The highest ratio of a partner's endpoints in a window, and all its calls there.
+/// Highest load ratio of a partner's endpoints in a window, and the calls of the partner in it.
 #[derive(Default)]
 struct Peak {
     ratio: f64,
     calls: f64,
 }
 
+/// Mean over partners and windows, weighted by calls, of the highest load ratio.
 fn peak_over_mean(record: &LoadRecord, loads: &[WindowLoad]) -> f64 {
     let mut peaks: BTreeMap<(usize, Duration), Peak> = BTreeMap::new();
     for load in loads {
@@ -119,7 +124,8 @@
     weight: f64,
 }
 
-/// The value below which this share of the weight lies; values ascend.
+/// The lowest value at which the cumulative weight reaches this share of the total; 0 without values. `values` are in
+/// ascending order.
 fn weighted_quantile(values: &[WeightedValue], share: f64) -> f64 {
     let total: f64 = values.iter().map(|entry| entry.weight).sum();
     let mut below = 0.0;
@@ -130,12 +136,13 @@
     found.map_or(0.0, |entry| entry.value)
 }
 
-/// Jain's fairness index of each endpoint's calls over its weight and its time in service.
+/// Mean over partners, weighted by their calls, of Jain's fairness index of calls over weight and time in service; 1
+/// without a partner that has several endpoints and calls.
 fn jain_index(record: &LoadRecord) -> f64 {
     let mut counts = vec![0.0; record.endpoints.len()];
     record.calls.iter().for_each(|call| counts[call.endpoint] += 1.0);
     let end = record.calls.last().map_or(Duration::ZERO, |call| call.at);
-    let (mut sum, mut calls) = (0.0, 0.0);
+    let (mut weighted_sum, mut total_calls) = (0.0, 0.0);
     for endpoints in record.endpoints_by_partner() {
         let expected = |index: &usize| {
             let endpoint = &record.endpoints[*index];
@@ -147,27 +154,29 @@
             (levels.iter().sum(), levels.iter().map(|level| level * level).sum());
         if levels.len() > 1 && squares > 0.0 {
             let partner_calls: f64 = endpoints.iter().map(|index| counts[*index]).sum();
-            sum += partner_calls * total * total / (levels.len() as f64 * squares);
-            calls += partner_calls;
+            weighted_sum += partner_calls * total * total / (levels.len() as f64 * squares);
+            total_calls += partner_calls;
         }
     }
-    if calls > 0.0 {
-        sum / calls
+    if total_calls > 0.0 {
+        weighted_sum / total_calls
     } else {
         1.0
     }
 }
 
+/// Share of the calls that follow a call of another instance to the same endpoint within the mean response time of
+/// served calls.
 fn collision_share(record: &LoadRecord) -> f64 {
     let served = record.calls.iter().filter(|call| call.outcome == Outcome::Served);
     let (count, sum) =
         served.fold((0u32, Duration::ZERO), |(n, sum), call| (n + 1, sum + call.response_time));
-    let mean_service_time = sum / count.max(1);
+    let mean_response_time = sum / count.max(1);
     let mut previous = vec![None; record.endpoints.len()];
     let mut collisions = 0u32;
     for call in &record.calls {
         let collides = previous[call.endpoint].replace(call).is_some_and(|previous| {
-            previous.instance != call.instance && call.at - previous.at < mean_service_time
+            previous.instance != call.instance && call.at - previous.at < mean_response_time
         });
         collisions += u32::from(collides);
     }
--- a/crates/load-metrics/src/lib.rs
+++ b/crates/load-metrics/src/lib.rs
@@ -1,9 +1,10 @@
-//! Metrics of load balance. A [`LoadRecord`] holds the requests that passed between gateway instances and endpoints,
-//! whoever recorded them: the test doubles on sockets or the simulator on virtual time. [`measure`] computes the
-//! metrics, and [`reassignment::reassign`] gives the two baselines that they are compared with: the same requests
-//! assigned by one central balancer that sees all of them, and by weighted random choice.
+//! Metrics of load balance. A [`LoadRecord`] holds the calls from gateway instances to endpoints, recorded by the
+//! test doubles over sockets or by the simulator in virtual time. [`measure`] computes the metrics, and
+//! [`reassignment::reassign`] computes the two baselines for comparison: the same calls assigned by one central
+//! balancer that sees all of them, and by weighted random choice.
 //!
-//! Independent of gateways, policy and sockets; no I/O, clock or ambient randomness. No gateway depends on it.
+//! The crate depends on no gateway, policy or socket code, and no gateway depends on it. It does no I/O and reads
+//! neither the clock nor ambient randomness.
 #![forbid(unsafe_code)]
 
 mod balance;
--- a/crates/load-metrics/src/reassignment.rs
+++ b/crates/load-metrics/src/reassignment.rs
@@ -1,28 +1,28 @@
-//! Baselines for comparison: the same calls at the same times, assigned to endpoints by another balancer.
+//! Baselines for comparison: the same calls at the same times, assigned to endpoints by another load balancer.
 
 use crate::record::{Endpoint, LoadRecord};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Least weight of an endpoint, against a division by zero.
+/// Lower bound of an endpoint's weight, to prevent division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// Which balancer assigns the calls.
+/// Load balancer that assigns the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Balancer {
-    /// One central balancer that sees all calls and assigns each to the endpoint with the fewest for its weight: the
-    /// upper bound of balance.
+    /// A central balancer that sees all calls and assigns each to the endpoint with the fewest calls relative to its
+    /// weight: the upper bound of balance.
     Central,
-    /// Random choice by weight: the lower bound of balance.
+    /// Weighted random choice: the lower bound of balance.
     Random {
         /// Seed of the random choice.
         seed: u64,
     },
 }
 
-/// Assigns the calls of a record to endpoints again: times, partners, instances and outcomes stay the same. A call for
-/// which no endpoint is in service keeps its endpoint.
+/// Reassigns the calls of a record to endpoints. Times, partners, instances and outcomes stay the same. A call at a
+/// time when no endpoint of its partner is in service keeps its endpoint.
 pub fn reassign(record: &LoadRecord, balancer: Balancer) -> LoadRecord {
     let partners = record.endpoints_by_partner();
     let mut assignment = Assignment::new(record, balancer);
@@ -38,17 +38,18 @@
     LoadRecord { calls, ..record.clone() }
 }
 
-/// Those of a partner's endpoints that are in service.
-fn in_service(endpoints: &[Endpoint], of_partner: &[usize], at: Duration) -> Vec<usize> {
-    of_partner.iter().copied().filter(|index| endpoints[*index].in_service(at)).collect()
+/// Filters a partner's endpoints for those in service at this time.
+fn in_service(endpoints: &[Endpoint], partner_endpoints: &[usize], at: Duration) -> Vec<usize> {
+    partner_endpoints.iter().copied().filter(|index| endpoints[*index].in_service(at)).collect()
 }
 
-/// Calls assigned so far.
+/// State of a reassignment.
 struct Assignment<'a> {
     endpoints: &'a [Endpoint],
-    /// Calls assigned to each endpoint; a new endpoint begins at the level of the others.
+    /// Calls assigned to each endpoint. For the central balancer, a new endpoint starts at the level of the least
+    /// loaded.
     assigned: Vec<f64>,
-    /// Endpoints of each partner that have taken part in the assignment.
+    /// Endpoints of each partner that have been candidates of the central balancer.
     known: Vec<Vec<usize>>,
     rng: ChaCha8Rng,
 }
@@ -71,36 +72,36 @@
         self.endpoints[endpoint].weight.max(MIN_WEIGHT)
     }
 
-    /// The endpoint of the next call; none where there is no candidate.
+    /// Selects the endpoint of the next call; `None` without a candidate.
     fn choose(&mut self, balancer: Balancer, partner: usize, candidates: &[usize]) -> Option<usize> {
         match balancer {
             _ if candidates.is_empty() => None,
             Balancer::Central => {
-                self.level_new_endpoints(partner, candidates);
+                self.initialize_new_endpoints(partner, candidates);
                 self.least_loaded(candidates)
             }
             Balancer::Random { .. } => self.weighted_random(candidates),
         }
     }
 
-    /// Starts new endpoints at the level of the others: otherwise they would get all calls until they caught up.
-    fn level_new_endpoints(&mut self, partner: usize, candidates: &[usize]) {
+    /// Sets the count of new endpoints to the lowest level of the known ones. From zero they would get all calls until
+    /// they caught up.
+    fn initialize_new_endpoints(&mut self, partner: usize, candidates: &[usize]) {
         let known = candidates.iter().filter(|endpoint| self.known[partner].contains(endpoint));
         let levels = known.map(|endpoint| self.assigned[*endpoint] / self.weight(*endpoint));
-        let least = levels.fold(f64::INFINITY, f64::min);
+        let lowest = levels.fold(f64::INFINITY, f64::min);
         for endpoint in candidates.iter().copied() {
             if self.known[partner].contains(&endpoint) {
                 continue;
             }
-            self.assigned[endpoint] = if least.is_finite() { least * self.weight(endpoint) } else { 0.0 };
+            self.assigned[endpoint] = if lowest.is_finite() { lowest * self.weight(endpoint) } else { 0.0 };
             self.known[partner].push(endpoint);
         }
     }
 
     fn least_loaded(&self, candidates: &[usize]) -> Option<usize> {
-        let level_with_one_more =
-            |endpoint: &usize| (self.assigned[*endpoint] + 1.0) / self.weight(*endpoint);
-        candidates.iter().copied().min_by(|a, b| level_with_one_more(a).total_cmp(&level_with_one_more(b)))
+        let level_after_call = |endpoint: &usize| (self.assigned[*endpoint] + 1.0) / self.weight(*endpoint);
+        candidates.iter().copied().min_by(|a, b| level_after_call(a).total_cmp(&level_after_call(b)))
     }
 
     fn weighted_random(&mut self, candidates: &[usize]) -> Option<usize> {
--- a/crates/load-metrics/src/report.rs
+++ b/crates/load-metrics/src/report.rs
@@ -1,4 +1,4 @@
-//! All metrics of a run, beside those of the two baselines.
+//! All metrics of a run, together with those of the two baselines.
 
 use crate::balance::{balance, BalanceMetrics};
 use crate::limit_use::{limit_use, LimitUse};
@@ -7,34 +7,35 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// All metrics of a record. Counts are per submitted message.
+/// All metrics of a record. Fields named `per_message` are per submitted message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LoadMetrics {
-    /// Balance of the record itself.
+    /// Balance of the calls as recorded.
     #[serde(rename = "own")]
     pub observed: BalanceMetrics,
     /// Balance of the same calls assigned by one central balancer.
     pub central: BalanceMetrics,
-    /// Balance of the same calls assigned at random.
+    /// Balance of the same calls assigned by weighted random choice.
     pub random: BalanceMetrics,
-    /// [`BalanceMetrics::collision_share`] observed over that of the random assignment; above 1 shows a thundering herd.
+    /// Observed [`BalanceMetrics::collision_share`] over that of the random assignment. Values above 1 indicate a
+    /// thundering herd.
     #[serde(rename = "herds")]
     pub herding_ratio: f64,
-    /// Share of the shared limits that is used while messages wait for them, from 0 to 1.
+    /// Utilization of the shared rate limits while messages wait, from 0 to 1; see [`LimitUse::share`].
     pub limit_use_while_waiting: f64,
-    /// Connections opened for each message.
+    /// Connections opened per message.
     #[serde(rename = "new_connections_a_message")]
     pub new_connections_per_message: f64,
-    /// Calls rejected by endpoints for each message.
+    /// Calls rejected by endpoints per message.
     #[serde(rename = "refusals_a_message")]
     pub rejections_per_message: f64,
-    /// Calls for each message.
+    /// Calls per message.
     #[serde(rename = "calls_a_message")]
     pub calls_per_message: f64,
 }
 
-/// Computes all metrics of a record. Balance is measured in windows of this length; `seed` is that of the random
-/// assignment.
+/// Computes all metrics of a record. `window` is the length of the windows in which balance is measured, `seed` the
+/// seed of the random baseline.
 pub fn measure(record: &LoadRecord, window: Duration, seed: u64) -> LoadMetrics {
     let observed = balance(record, window);
     let central = balance(&reassign(record, Balancer::Central), window);
--- a/crates/load-metrics/tests/metrics.rs
+++ b/crates/load-metrics/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Each metric on records whose value is known.
+//! Checks each metric on records with a known value.
 
 use cloverstile_load_metrics::reassignment::{reassign, Balancer};
 use cloverstile_load_metrics::{
@@ -16,7 +16,8 @@
     Endpoint { partner: 0, weight, from: Duration::ZERO, until: Duration::MAX }
 }
 
-/// A call every ten milliseconds, to the endpoint and by the instance that are named for its number.
+/// A record with a served call every 10 ms at one partner. `to` and `by` map the number of a call to its endpoint and
+/// instance.
 fn record(weights: &[f64], calls: u64, to: impl Fn(u64) -> usize, by: impl Fn(u64) -> u32) -> LoadRecord {
     let call = |n| Call {
         at: ms(n * 10),
@@ -35,17 +36,17 @@
 }
 
 #[test]
-fn round_robin_is_balanced_and_a_single_endpoint_is_not() {
+fn balance_metrics_tell_round_robin_from_a_single_loaded_endpoint() {
     let balanced = measure(&record(&[1.0; 4], 400, |n| n as usize % 4, |_| 0), WINDOW, 1).observed;
     assert_eq!((balanced.peak_over_mean, balanced.jain, balanced.idle_share), (1.0, 1.0, 0.0));
-    let one = measure(&record(&[1.0; 4], 400, |_| 0, |_| 0), WINDOW, 1).observed;
-    assert_eq!((one.peak_over_mean, one.jain), (4.0, 0.25));
-    // Three of four never get a call.
-    assert!((one.idle_share - 0.75).abs() < 0.01, "{}", one.idle_share);
+    let single = measure(&record(&[1.0; 4], 400, |_| 0, |_| 0), WINDOW, 1).observed;
+    assert_eq!((single.peak_over_mean, single.jain), (4.0, 0.25));
+    // Three of the four endpoints receive no call.
+    assert!((single.idle_share - 0.75).abs() < 0.01, "{}", single.idle_share);
 }
 
 #[test]
-fn central_baseline_is_balanced_by_weight_and_random_lies_between() {
+fn central_baseline_is_balanced_by_weight_and_random_lies_between_central_and_observed() {
     let metrics = measure(&record(&[1.0, 2.0, 5.0], 800, |_| 0, |_| 0), WINDOW, 1);
     assert!(metrics.central.peak_over_mean < 1.1, "{:?}", metrics.central);
     assert!(metrics.central.jain > 0.999);
@@ -55,46 +56,47 @@
 }
 
 #[test]
-fn expected_load_of_a_new_endpoint_is_its_part_of_the_window() {
+fn expected_load_of_a_new_endpoint_counts_only_its_time_in_service() {
     let mut record = record(&[1.0, 1.0], 400, |n| usize::from(n >= 200 && n % 2 == 1), |_| 0);
     record.endpoints[1].from = ms(2000);
-    let balanced = measure(&record, WINDOW, 1);
-    assert_eq!(balanced.observed.peak_over_mean, 1.0);
-    // Before it was in service there is only one endpoint, and no window counts.
+    let metrics = measure(&record, WINDOW, 1);
+    assert_eq!(metrics.observed.peak_over_mean, 1.0);
+    // Earlier windows are left out, as only one endpoint was in service.
     assert!(window_loads(&record, WINDOW).iter().all(|load| load.window_start >= ms(2000)));
-    // The central baseline gives it nothing before, and then no more than its share.
+    // The central baseline assigns no call to the endpoint before its service starts, and no more than its share
+    // afterwards.
     let reassigned = reassign(&record, Balancer::Central);
-    let late: Vec<&Call> = reassigned.calls.iter().filter(|call| call.endpoint == 1).collect();
-    assert!(late.iter().all(|call| call.at >= ms(2000)));
-    assert!((99..=101).contains(&late.len()), "{}", late.len());
+    let new_endpoint_calls: Vec<&Call> = reassigned.calls.iter().filter(|call| call.endpoint == 1).collect();
+    assert!(new_endpoint_calls.iter().all(|call| call.at >= ms(2000)));
+    assert!((99..=101).contains(&new_endpoint_calls.len()), "{}", new_endpoint_calls.len());
 }
 
 #[test]
-fn calls_collide_with_those_of_other_instances_within_a_service_time() {
-    let alone = measure(&record(&[1.0], 100, |_| 0, |_| 7), WINDOW, 1);
-    assert_eq!(alone.observed.collision_share, 0.0);
-    let crowd = measure(&record(&[1.0], 100, |_| 0, |n| n as u32), WINDOW, 1);
-    assert_eq!(crowd.observed.collision_share, 0.99);
+fn collision_share_counts_calls_of_other_instances_within_a_response_time() {
+    let one_instance = measure(&record(&[1.0], 100, |_| 0, |_| 7), WINDOW, 1);
+    assert_eq!(one_instance.observed.collision_share, 0.0);
+    let many_instances = measure(&record(&[1.0], 100, |_| 0, |n| n as u32), WINDOW, 1);
+    assert_eq!(many_instances.observed.collision_share, 0.99);
 }
 
 #[test]
 fn limit_use_counts_served_calls_while_messages_wait() {
     let mut record = record(&[1.0], 300, |_| 0, |_| 0);
     record.partners[0].limit_steps = vec![(Duration::ZERO, 100.0), (ms(2000), 50.0)];
-    // No message waits: no use is counted.
+    // Without waiting messages no second is counted.
     assert!(limit_use(&record).is_empty());
     let waiting = |from, until| WaitingInterval { partner: 0, from: ms(from), until: ms(until) };
     record.waiting_intervals = (0..200).map(|_| waiting(500, 1500)).collect();
     let uses = limit_use(&record);
     assert_eq!(uses.keys().copied().collect::<Vec<_>>(), [(0, 1)]);
     assert_eq!(uses[&(0, 1)].share(), 1.0);
-    // Half of the possible calls are served.
+    // Only half of the possible calls are served.
     record.calls.retain(|call| call.at.as_millis() % 20 == 0);
     assert_eq!(limit_use(&record)[&(0, 1)].share(), 0.5);
-    // Ten waited, so ten could be served.
+    // With ten waiting messages only ten calls are possible, and all are served.
     record.waiting_intervals.truncate(10);
     assert_eq!(limit_use(&record)[&(0, 1)].share(), 1.0);
-    // A lowered limit bounds the possible calls.
+    // After the limit is lowered, the lower value bounds the possible calls.
     record.waiting_intervals = (0..200).map(|_| waiting(1500, 2500)).collect();
     assert_eq!(limit_use(&record)[&(0, 2)].possible, 50.0);
 }
--- a/crates/simulator/src/load_balance/simulation.rs
+++ b/crates/simulator/src/load_balance/simulation.rs
@@ -20,50 +20,51 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Endpoint list updates reach each instance within so long.
-const UPDATE_SPREAD: Duration = Duration::from_secs(2);
-/// Time from the loss of an instance to its restart, when its clients submit unfinished messages again.
-const RESTARTED_AFTER: Duration = Duration::from_millis(300);
-/// Extra delay of the affected instances to the endpoint of a `slow-for` fault.
-const SLOW_FOR_DELAY: Duration = Duration::from_millis(500);
-
-/// The client policy that decides at all instances of a run.
+/// Each instance receives a change of advertised limits within this time. Updates that replace endpoints use the
+/// duration of their fault instead.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(2);
+/// Time from the loss of an instance to its restart, when its clients resubmit their pending messages.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Extra network delay from the affected instances to the affected endpoints during a `slow-for` fault.
+const SLOW_PATH_DELAY: Duration = Duration::from_millis(500);
+
+/// Policy by which all instances of a run select endpoints and limit their rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientPolicy {
     /// The engine and delivery policy of the gateway.
     Delivery,
-    /// A baseline client: an endpoint selection and a limiter.
+    /// A baseline client with this endpoint selection and limiter.
     Baseline(EndpointSelection, Limiter),
 }
 
 impl ClientPolicy {
-    /// The name that reports use.
+    /// Name of the policy in reports.
     pub fn name(self) -> String {
         match self {
             ClientPolicy::Delivery => "module".into(),
-            ClientPolicy::Baseline(choice, limiter) => format!("{}+{}", choice.name(), limiter.name()),
+            ClientPolicy::Baseline(selection, limiter) => format!("{}+{}", selection.name(), limiter.name()),
         }
     }
 }
 
-/// Violations of the invariants. All zero on a correct run of the gateway's policy; for baseline clients, part
-/// of their cost.
+/// Counts of invariant violations. A correct run of the delivery policy has none; baseline clients may cause some,
+/// which are part of their cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadBalanceViolations {
-    /// Messages without exactly one answer in time.
+    /// Messages without a final outcome, with a late one or with more than one.
     pub missing_or_late_outcomes: u64,
-    /// ... that took effect twice, or were refused although they took effect.
+    /// Repeated effects beyond what the message class allows, and messages rejected although they took effect.
     pub repeated_effects: u64,
-    /// Calls to endpoints that an update removed, after the grace period.
+    /// Calls to an endpoint after an endpoint list update removed it and the drain grace period ended.
     pub sends_after_drain: u64,
-    /// Calls before the end of a `Retry-After` that this instance had received.
+    /// Calls sent before the end of a `Retry-After` that the instance had received.
     pub early_retries: u64,
-    /// Endpoints pushed over after an outage.
+    /// Endpoints that collapsed under load after they recovered from an outage.
     pub recovery_overloads: u64,
 }
 
 impl LoadBalanceViolations {
-    /// Violations of all kinds together.
+    /// Sum of all violations.
     pub fn total(&self) -> u64 {
         self.missing_or_late_outcomes
             + self.repeated_effects
@@ -73,36 +74,63 @@
     }
 }
 
-/// A whole run.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBalanceRun {
     /// Calls, endpoints and waiting intervals, for the metrics of load balance.
     pub record: LoadRecord,
-    /// Worth of all messages if each were delivered on time.
+    /// Value of all submitted messages if each were delivered on time.
     pub offered_value: f64,
-    /// Worth of the delivered messages by their age at delivery.
+    /// Value of the delivered messages, which depends on their age at delivery.
     pub delivered_value: f64,
-    /// Messages delivered, rejected and failed, in this order.
+    /// Numbers of messages delivered, rejected and failed, in this order.
     pub outcome_counts: [u64; 3],
-    /// Probes sent.
+    /// Probes sent by baseline clients.
     pub probes: u64,
-    /// Violations of the invariants.
+    /// Invariant violations found during the run.
     pub violations: LoadBalanceViolations,
-    /// How often an instance was asked for its next commands.
+    /// Number of calls to `advance`, over all instances.
     pub advance_calls: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Submission,
-    Reach { call: usize },
-    Leave { call: usize },
-    Response { call: usize },
-    Probed { instance: u32, epoch: u32, endpoint: usize },
-    Wake { instance: u32 },
-    Fault { place: usize, begins: bool },
-    ListUpdate { instance: u32 },
-    Restarted { instance: u32 },
+    /// The call reaches its endpoint.
+    RequestArrived {
+        call: usize,
+    },
+    /// The endpoint sends its response.
+    ResponseSent {
+        call: usize,
+    },
+    /// The response, or the refusal of the connection, reaches the instance.
+    ResponseReceived {
+        call: usize,
+    },
+    /// The result of a probe reaches a baseline client.
+    ProbeCompleted {
+        instance: u32,
+        epoch: u32,
+        endpoint: usize,
+    },
+    /// The next timeout of an instance is due. Ignored if the instance has set another one since.
+    Timer {
+        instance: u32,
+    },
+    /// A fault starts or ends; `index` is its position in the scenario.
+    Fault {
+        index: usize,
+        starts: bool,
+    },
+    /// An instance receives the current endpoint list.
+    EndpointListUpdate {
+        instance: u32,
+    },
+    /// A lost instance is back.
+    InstanceRestarted {
+        instance: u32,
+    },
 }
 
 /// A message from its submission to its final outcome.
@@ -111,79 +139,97 @@
     class: usize,
     submitted_at: Duration,
     deadline: Duration,
-    answered: bool,
+    /// Whether its final outcome is known.
+    completed: bool,
+    /// When it first took effect at an endpoint.
     effect_at: Option<Duration>,
-    /// Waiting in an instance since then.
-    waits: Option<Duration>,
+    /// Start of the current wait in an instance, without an attempt in flight.
+    waiting_since: Option<Duration>,
+    /// Whether an attempt was sent, so that it may have taken effect.
     may_have_run: bool,
 }
 
-/// A call on the network or at an endpoint.
-struct CallAt {
+/// State of a call that an instance sent.
+struct CallState {
     instance: u32,
+    /// Epoch of the instance at sending; a response to an earlier epoch is dropped.
     epoch: u32,
     endpoint: usize,
     message: u32,
+    /// The attempt that the engine knows; `None` for baseline clients.
     attempt: Option<Attempt>,
     reply: Reply,
-    refused_connection: bool,
-    told: Option<AdvertisedLimit>,
-    load: LoadReport,
+    connection_refused: bool,
+    advertised_limit: Option<AdvertisedLimit>,
+    load_report: LoadReport,
 }
 
-enum Client {
-    Module(Box<Engine>),
-    BaselineClient(Box<BaselineClient>),
+/// Implementation of the client policy in one instance.
+enum OutboundClient {
+    Engine(Box<Engine>),
+    Baseline(Box<BaselineClient>),
 }
 
+/// A gateway instance.
 struct Gateway {
-    client: Client,
+    client: OutboundClient,
+    /// Number of times that the instance was lost.
     epoch: u32,
-    wake: Option<Duration>,
-    /// End of each `Retry-After`, by partner, or by endpoint where limits are per endpoint.
-    waits: HashMap<(usize, Option<usize>), Duration>,
-    held: HashMap<MessageId, u32>,
-    holds: Vec<u32>,
-    /// Idle connections by endpoint, since when.
-    idle: HashMap<usize, Vec<Duration>>,
-    /// Number of endpoint list updates that it has received.
-    received_updates: usize,
+    /// When the scheduled timer fires.
+    next_timer: Option<Duration>,
+    /// End of each received `Retry-After`, by partner, and by endpoint where limits are per endpoint.
+    retry_after_until: HashMap<(usize, Option<usize>), Duration>,
+    /// Numbers of the messages in the simulation, by their id in the engine.
+    message_numbers: HashMap<MessageId, u32>,
+    /// Numbers of the accepted messages without a final outcome.
+    pending: Vec<u32>,
+    /// Idle connections by endpoint: when each became idle.
+    idle_connections: HashMap<usize, Vec<Duration>>,
+    /// Number of endpoint removals in the list that it received last.
+    known_removals: usize,
+    /// Lost and not yet restarted.
     down: bool,
 }
 
 struct Simulation<'a> {
     scenario: &'a LoadBalanceScenario,
-    who: ClientPolicy,
+    policy: ClientPolicy,
     settings: Settings,
     now: Duration,
     events: EventQueue<Event>,
     rng: ChaCha8Rng,
     gateways: Vec<Gateway>,
     traffic: Traffic,
-    sites: SimulatedPartners,
-    /// Endpoint list updates, the earliest first.
+    partner_models: SimulatedPartners,
+    /// Endpoints removed from the endpoint list, in the order of their removal.
     removals: Vec<EndpointRemoval>,
     messages: Vec<Message>,
-    calls: Vec<CallAt>,
+    calls: Vec<CallState>,
     run: LoadBalanceRun,
-    /// Endpoints that recovered from an outage.
-    returned: Vec<usize>,
-    /// Gateways affected by `slow-for` while it lasts.
-    slow_for_instances: Option<usize>,
+    /// Endpoints that recovered from an outage and have not collapsed since.
+    recovered_endpoints: Vec<usize>,
+    /// Number of instances that a `slow-for` fault affects, the first ones; `None` without such a fault.
+    slow_instance_count: Option<usize>,
 }
 
-/// An endpoint list update: an endpoint is replaced.
+/// Removal of a replaced endpoint from the endpoint list.
 #[derive(Clone, Copy)]
 struct EndpointRemoval {
-    gone: usize,
+    endpoint: usize,
     at: Duration,
 }
 
-/// Runs a scenario once. The same scenario, client policy and seed always give the same run.
-pub fn simulate_load_balance(scenario: &LoadBalanceScenario, who: ClientPolicy, seed: u64) -> LoadBalanceRun {
-    let mut simulation = Simulation::new(scenario, who, seed);
-    let longest = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
-    let end = Duration::from_secs_f64(scenario.seconds + longest + 2.0 * scenario.rules.outcome_grace + 1.0);
+/// Runs a scenario once. The run is deterministic: it depends only on the scenario, the client policy and the seed.
+pub fn simulate_load_balance(
+    scenario: &LoadBalanceScenario,
+    policy: ClientPolicy,
+    seed: u64,
+) -> LoadBalanceRun {
+    let mut simulation = Simulation::new(scenario, policy, seed);
+    let longest_deadline = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
+    let end = Duration::from_secs_f64(
+        scenario.seconds + longest_deadline + 2.0 * scenario.rules.outcome_grace + 1.0,
+    );
     while let Some((at, event)) = simulation.events.pop() {
         if at > end {
             break;
@@ -194,47 +240,48 @@
     simulation.finish()
 }
 
-fn time(span: Duration) -> Time {
-    Time::ZERO + span
+/// Converts the time since the beginning of the run to the engine's clock.
+fn virtual_time(elapsed: Duration) -> Time {
+    Time::ZERO + elapsed
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a LoadBalanceScenario, who: ClientPolicy, seed: u64) -> Self {
+    fn new(scenario: &'a LoadBalanceScenario, policy: ClientPolicy, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let sites = SimulatedPartners::new(scenario, &mut rng);
+        let partner_models = SimulatedPartners::new(scenario, &mut rng);
         let mut simulation = Simulation {
-            settings: gateways::settings(scenario),
+            settings: gateways::gateway_settings(scenario),
             traffic: Traffic::new(scenario),
             scenario,
-            who,
+            policy,
             now: Duration::ZERO,
             events: EventQueue::new(),
             gateways: Vec::new(),
-            sites,
+            partner_models,
             removals: Vec::new(),
             messages: Vec::new(),
             calls: Vec::new(),
             run: LoadBalanceRun::default(),
-            returned: Vec::new(),
-            slow_for_instances: None,
+            recovered_endpoints: Vec::new(),
+            slow_instance_count: None,
             rng: ChaCha8Rng::seed_from_u64(rng.random()),
         };
-        simulation.run.record.partners = vec![Partner::default(); simulation.sites.partners.len()];
-        for partner in 0..simulation.sites.partners.len() {
-            simulation.note_limit(partner);
+        simulation.run.record.partners = vec![Partner::default(); simulation.partner_models.partners.len()];
+        for partner in 0..simulation.partner_models.partners.len() {
+            simulation.record_limit(partner);
         }
-        for endpoint in 0..simulation.sites.endpoints.len() {
-            simulation.note_endpoint(endpoint);
+        for endpoint in 0..simulation.partner_models.endpoints.len() {
+            simulation.record_endpoint(endpoint);
         }
         for instance in 0..scenario.instances {
             let seed = simulation.rng.random();
-            let gateway = simulation.gateway(instance, seed);
+            let gateway = simulation.new_gateway(instance, seed);
             simulation.gateways.push(gateway);
         }
-        for (place, fault) in scenario.faults.values().enumerate() {
-            simulation.schedule(Duration::from_secs_f64(fault.at), Event::Fault { place, begins: true });
+        for (index, fault) in scenario.faults.values().enumerate() {
+            simulation.schedule(Duration::from_secs_f64(fault.at), Event::Fault { index, starts: true });
             let end = Duration::from_secs_f64(fault.at + fault.duration);
-            simulation.schedule(end, Event::Fault { place, begins: false });
+            simulation.schedule(end, Event::Fault { index, starts: false });
         }
         simulation.schedule(Duration::ZERO, Event::Submission);
         simulation
@@ -248,45 +295,46 @@
         draw_delay(self.scenario.network_delay_ms, &mut self.rng)
     }
 
-    fn note_limit(&mut self, partner: usize) {
-        if let Some(limit) = self.sites.partners[partner].total_limit() {
+    /// Adds the partner's current limit to the load record; partners without a limit have no steps.
+    fn record_limit(&mut self, partner: usize) {
+        if let Some(limit) = self.partner_models.partners[partner].total_limit() {
             self.run.record.partners[partner].limit_steps.push((self.now, limit));
         }
     }
 
-    fn note_endpoint(&mut self, endpoint: usize) {
-        self.run.record.endpoints.push(self.sites.endpoints[endpoint].record_entry());
+    fn record_endpoint(&mut self, endpoint: usize) {
+        self.run.record.endpoints.push(self.partner_models.endpoints[endpoint].record_entry());
     }
 
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::Submission => self.submit_next(),
-            Event::Reach { call } => self.reach(call),
-            Event::Leave { call } => self.leave(call),
-            Event::Response { call } => self.answer(call),
-            Event::Probed { instance, epoch, endpoint } => {
-                let in_hand = f64::from(self.sites.endpoints[endpoint].in_flight);
+            Event::RequestArrived { call } => self.on_request_arrived(call),
+            Event::ResponseSent { call } => self.on_response_sent(call),
+            Event::ResponseReceived { call } => self.on_response_received(call),
+            Event::ProbeCompleted { instance, epoch, endpoint } => {
+                let in_flight = f64::from(self.partner_models.endpoints[endpoint].in_flight);
                 let gateway = &mut self.gateways[instance as usize];
-                if let (Client::BaselineClient(baseline), true) =
+                if let (OutboundClient::Baseline(baseline), true) =
                     (&mut gateway.client, gateway.epoch == epoch)
                 {
-                    baseline.on_probe_completed(self.now, endpoint, in_hand);
+                    baseline.on_probe_completed(self.now, endpoint, in_flight);
                 }
             }
-            Event::Wake { instance } => {
+            Event::Timer { instance } => {
                 let gateway = &mut self.gateways[instance as usize];
-                if !gateway.down && gateway.wake == Some(self.now) {
-                    gateway.wake = None;
+                if !gateway.down && gateway.next_timer == Some(self.now) {
+                    gateway.next_timer = None;
                     self.advance(instance);
                 }
             }
-            Event::Fault { place, begins } => self.apply_fault(place, begins),
-            Event::ListUpdate { instance } => self.receive_list(instance),
-            Event::Restarted { instance } => self.restarted(instance),
+            Event::Fault { index, starts } => self.apply_fault(index, starts),
+            Event::EndpointListUpdate { instance } => self.on_endpoint_list_update(instance),
+            Event::InstanceRestarted { instance } => self.restart_instance(instance),
         }
     }
 
-    // ---- Clients ----
+    // ---- Submissions and final outcomes ----
 
     fn submit_next(&mut self) {
         let next = self.now + self.traffic.draw_interarrival_time(&mut self.rng);
@@ -304,105 +352,111 @@
             class,
             submitted_at: self.now,
             deadline,
-            answered: false,
+            completed: false,
             effect_at: None,
-            waits: None,
+            waiting_since: None,
             may_have_run: false,
         });
         self.submit(instance as u32, number, false);
     }
 
+    /// Records the end of a waiting interval; no effect if the message does not wait.
     fn stop_waiting(&mut self, number: u32) {
         let message = &mut self.messages[number as usize];
-        if let Some(from) = message.waits.take() {
+        if let Some(from) = message.waiting_since.take() {
             let interval = WaitingInterval { partner: message.partner, from, until: self.now };
             self.run.record.waiting_intervals.push(interval);
         }
     }
 
-    /// Records the final outcome: 0 delivered, 1 rejected, 2 failed.
-    fn complete(&mut self, number: u32, answer: usize) {
+    /// Records the final outcome, an index into [`LoadBalanceRun::outcome_counts`]: 0 delivered, 1 rejected, 2 failed.
+    fn complete(&mut self, number: u32, outcome: usize) {
         self.stop_waiting(number);
         let slack = Duration::from_secs_f64(self.scenario.rules.outcome_grace);
         let now = self.now;
         let message = &mut self.messages[number as usize];
-        if message.answered || now > message.deadline + slack {
+        if message.completed || now > message.deadline + slack {
             self.run.violations.missing_or_late_outcomes += 1;
         }
-        if message.answered {
+        if message.completed {
             return;
         }
-        message.answered = true;
-        self.run.outcome_counts[answer] += 1;
-        // A rejection states that the message never took effect.
-        self.run.violations.repeated_effects += u64::from(answer == 1 && message.effect_at.is_some());
-        if let (0, Some(class)) = (answer, self.scenario.class.values().nth(message.class)) {
+        message.completed = true;
+        self.run.outcome_counts[outcome] += 1;
+        // A rejection guarantees that the message never took effect.
+        self.run.violations.repeated_effects += u64::from(outcome == 1 && message.effect_at.is_some());
+        if let (0, Some(class)) = (outcome, self.scenario.class.values().nth(message.class)) {
             self.run.delivered_value += class.value_at((now - message.submitted_at).as_secs_f64());
         }
     }
 
-    // ---- Partners ----
+    // ---- Calls at endpoints ----
 
-    fn reach(&mut self, call: usize) {
+    fn on_request_arrived(&mut self, call: usize) {
         let now = self.now;
         let (endpoint, message) = (self.calls[call].endpoint, self.calls[call].message);
-        if self.sites.endpoints[endpoint].removed {
-            self.calls[call].refused_connection = true;
-            return self.schedule(now, Event::Response { call });
+        if self.partner_models.endpoints[endpoint].removed {
+            self.calls[call].connection_refused = true;
+            return self.schedule(now, Event::ResponseReceived { call });
         }
-        let reached = self.sites.handle_request(now, endpoint, &message.to_string());
-        if self.returned.contains(&endpoint) && self.sites.endpoints[endpoint].model.has_collapsed() {
-            self.returned.retain(|other| *other != endpoint);
+        let response = self.partner_models.handle_request(now, endpoint, &message.to_string());
+        if self.recovered_endpoints.contains(&endpoint)
+            && self.partner_models.endpoints[endpoint].model.has_collapsed()
+        {
+            self.recovered_endpoints.retain(|other| *other != endpoint);
             self.run.violations.recovery_overloads += 1;
         }
-        let outcome = reached.outcome();
-        let response_time = reached.decision.respond_at.map_or(Duration::ZERO, |at| at - now);
+        let outcome = response.outcome();
+        let response_time = response.decision.respond_at.map_or(Duration::ZERO, |at| at - now);
         let instance = self.calls[call].instance;
         self.run.record.calls.push(Call { at: now, endpoint, instance, outcome, response_time });
-        if reached.decision.takes_effect {
+        if response.decision.takes_effect {
             self.record_effect(message);
         }
-        let at = &mut self.calls[call];
-        (at.reply, at.told, at.load) = (reached.decision.reply, reached.advertised_limit, reached.load);
-        match reached.decision.respond_at {
-            Some(at) if at > now => self.schedule(at, Event::Leave { call }),
+        let state = &mut self.calls[call];
+        (state.reply, state.advertised_limit, state.load_report) =
+            (response.decision.reply, response.advertised_limit, response.load);
+        match response.decision.respond_at {
+            Some(at) if at > now => self.schedule(at, Event::ResponseSent { call }),
             Some(_) => {
                 let at = now + self.network_delay();
-                self.schedule(at, Event::Response { call });
+                self.schedule(at, Event::ResponseReceived { call });
             }
             None => {}
         }
     }
 
+    /// Records that a message took effect, and a violation if its class does not allow the repeat.
     fn record_effect(&mut self, number: u32) {
         let message = &mut self.messages[number as usize];
         let class = &self.settings.classes[message.class];
-        let again = message.effect_at.is_some_and(|at| match class.effect {
+        let repeated = message.effect_at.is_some_and(|at| match class.effect {
             Effect::Safe => false,
-            // Inside the window a repeat is dropped, at whichever endpoint.
+            // Within the retry window the partner drops repeats at every endpoint.
             Effect::Keyed => self.now - at >= class.retry_window,
             Effect::Unsafe => true,
         });
-        self.run.violations.repeated_effects += u64::from(again);
+        self.run.violations.repeated_effects += u64::from(repeated);
         message.effect_at.get_or_insert(self.now);
     }
 
-    fn leave(&mut self, call: usize) {
+    fn on_response_sent(&mut self, call: usize) {
         let endpoint = self.calls[call].endpoint;
-        self.sites.on_response_sent(endpoint);
-        // The load report is of the moment in which the response leaves.
-        let load = self.sites.load_report(self.now, endpoint);
-        self.calls[call].load = load;
+        self.partner_models.on_response_sent(endpoint);
+        // The response carries the load report of the time at which it is sent.
+        let load_report = self.partner_models.load_report(self.now, endpoint);
+        self.calls[call].load_report = load_report;
         let at = self.now + self.network_delay();
-        self.schedule(at, Event::Response { call });
+        self.schedule(at, Event::ResponseReceived { call });
     }
 
+    /// Ends the run: messages without a final outcome are violations.
     fn finish(mut self) -> LoadBalanceRun {
         for number in 0..self.messages.len() as u32 {
             self.stop_waiting(number);
         }
         self.run.violations.missing_or_late_outcomes +=
-            self.messages.iter().filter(|message| !message.answered).count() as u64;
+            self.messages.iter().filter(|message| !message.completed).count() as u64;
         self.run
     }
 }
--- a/crates/simulator/src/load_balance/simulation/gateways.rs
+++ b/crates/simulator/src/load_balance/simulation/gateways.rs
@@ -1,8 +1,8 @@
 //! Gateway instances of a run: submissions, commands, endpoint list updates, loss and restart.
 
 use super::{
-    time, CallAt, Client, ClientPolicy, Event, Gateway, Simulation, RESTARTED_AFTER, SLOW_FOR_DELAY,
-    UPDATE_SPREAD,
+    virtual_time, CallState, ClientPolicy, Event, Gateway, OutboundClient, Simulation, MAX_UPDATE_DELAY,
+    RESTART_DELAY, SLOW_PATH_DELAY,
 };
 use crate::load_balance::baseline_client::BaselineSettings;
 use crate::load_balance::baseline_client::{Action, AttemptResult, BaselineClient, Limiter};
@@ -21,11 +21,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Share of the instances' tries that a deadline leaves: attempts for a message.
-const SEND_CAP: u32 = 8;
+/// Maximum number of attempts for a message within its deadline.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Settings of the gateway instances.
-pub(super) fn settings(scenario: &LoadBalanceScenario) -> Settings {
+/// Engine settings of all gateway instances; each endpoint kind states whether limits are per endpoint.
+pub(super) fn gateway_settings(scenario: &LoadBalanceScenario) -> Settings {
     Settings {
         instance_count: scenario.instances as u32,
         classes: scenario.classes(),
@@ -34,7 +34,7 @@
             .to_vec(),
         concurrency_limit: scenario.concurrency_limit,
         max_queued: scenario.max_queued,
-        max_attempts: SEND_CAP,
+        max_attempts: MAX_ATTEMPTS,
         connection_idle_timeout: Duration::from_secs_f64(scenario.connection_idle_timeout),
         max_retry_after: Some(Duration::from_secs(5)),
         rules: scenario.rules.rules(),
@@ -43,45 +43,46 @@
 }
 
 impl Simulation<'_> {
-    pub(super) fn gateway(&mut self, instance: usize, seed: u64) -> Gateway {
-        let client = match self.who {
+    /// Creates an instance that has received the current endpoint list.
+    pub(super) fn new_gateway(&mut self, instance: usize, seed: u64) -> Gateway {
+        let client = match self.policy {
             ClientPolicy::Delivery => {
-                let bounds = ResultCacheLimits { max_results: 1000, retention: Duration::from_secs(2) };
-                Client::Module(Box::new(Engine::new(self.settings.clone(), bounds, seed)))
+                let cache_limits = ResultCacheLimits { max_results: 1000, retention: Duration::from_secs(2) };
+                OutboundClient::Engine(Box::new(Engine::new(self.settings.clone(), cache_limits, seed)))
             }
-            ClientPolicy::Baseline(choice, limiter) => {
+            ClientPolicy::Baseline(selection, limiter) => {
                 let settings = BaselineSettings {
                     instance,
                     instances: self.scenario.instances,
-                    selection: choice,
+                    selection,
                     limiter,
                     concurrency_limit: self.scenario.concurrency_limit,
                     max_held: self.scenario.max_queued,
                 };
-                Client::BaselineClient(Box::new(BaselineClient::new(settings, seed)))
+                OutboundClient::Baseline(Box::new(BaselineClient::new(settings, seed)))
             }
         };
         let mut gateway = Gateway::new(client);
-        self.update_list(&mut gateway);
+        self.update_endpoint_list(&mut gateway);
         gateway
     }
 
     /// Passes the current endpoint list to an instance.
-    fn update_list(&mut self, gateway: &mut Gateway) {
-        gateway.received_updates = self.removals.len();
-        let replaced: Vec<usize> = self.removals.iter().map(|removals| removals.gone).collect();
+    fn update_endpoint_list(&mut self, gateway: &mut Gateway) {
+        gateway.known_removals = self.removals.len();
+        let replaced: Vec<usize> = self.removals.iter().map(|removal| removal.endpoint).collect();
         match &mut gateway.client {
-            Client::Module(engine) => {
-                let entries = (0..self.sites.endpoints.len()).map(|place| {
-                    let partner = self.sites.endpoints[place].partner;
-                    let apart = self.sites.partners[partner].spec.limit_per_endpoint;
-                    let weight = self.sites.listed_weight(place);
+            OutboundClient::Engine(engine) => {
+                let entries = (0..self.partner_models.endpoints.len()).map(|index| {
+                    let partner = self.partner_models.endpoints[index].partner;
+                    let own_limit = self.partner_models.partners[partner].spec.limit_per_endpoint;
+                    let weight = self.partner_models.listed_weight(index);
                     cloverstile::Endpoint {
-                        id: EndpointId(place as u32),
+                        id: EndpointId(index as u32),
                         zone: ZoneId(0),
-                        kind: KindId(u16::from(apart)),
+                        kind: KindId(u16::from(own_limit)),
                         destination: DestinationId(partner as u16),
-                        state: if replaced.contains(&place) {
+                        state: if replaced.contains(&index) {
                             EndpointState::Draining
                         } else {
                             EndpointState::Ready
@@ -90,30 +91,32 @@
                     }
                 });
                 let entries: Vec<_> = entries.collect();
-                engine.update_endpoints(time(self.now), entries);
+                engine.update_endpoints(virtual_time(self.now), entries);
             }
-            Client::BaselineClient(baseline) => {
-                let list = (0..self.sites.partners.len()).map(|partner| {
-                    let of = &self.sites.partners[partner];
-                    let there = of.endpoints.iter().copied().filter(|e| !replaced.contains(e)).collect();
-                    (there, of.total_limit())
+            OutboundClient::Baseline(baseline) => {
+                let list = (0..self.partner_models.partners.len()).map(|partner| {
+                    let model = &self.partner_models.partners[partner];
+                    let in_service =
+                        model.endpoints.iter().copied().filter(|e| !replaced.contains(e)).collect();
+                    (in_service, model.total_limit())
                 });
                 baseline.update_endpoints(list.collect());
             }
         }
     }
 
-    pub(super) fn receive_list(&mut self, instance: u32) {
+    pub(super) fn on_endpoint_list_update(&mut self, instance: u32) {
         if self.gateways[instance as usize].down {
             return;
         }
         let mut gateway = std::mem::replace(&mut self.gateways[instance as usize], Gateway::placeholder());
-        self.update_list(&mut gateway);
+        self.update_endpoint_list(&mut gateway);
         self.gateways[instance as usize] = gateway;
         self.advance(instance);
     }
 
-    pub(super) fn submit(&mut self, instance: u32, number: u32, after_loss: bool) {
+    /// Submits a message to an instance. A message that the instance does not accept is rejected at once.
+    pub(super) fn submit(&mut self, instance: u32, number: u32, resubmitted: bool) {
         let now = self.now;
         let (partner, class, deadline) = {
             let message = &self.messages[number as usize];
@@ -123,68 +126,74 @@
             return self.complete(number, 1);
         }
         let gateway = &mut self.gateways[instance as usize];
-        let taken = match &mut gateway.client {
-            Client::Module(engine) => {
-                let taken = SubmitRequest {
+        let accepted = match &mut gateway.client {
+            OutboundClient::Engine(engine) => {
+                let request = SubmitRequest {
                     client: 0,
                     idempotency_key: number.to_string(),
                     fingerprint: [0; 32],
                     class: ClassId(class as u8),
                     destination: DestinationId(partner as u16),
                     order_key: None,
-                    deadline: time(deadline),
+                    deadline: virtual_time(deadline),
                     tenant: TenantId(0),
-                    resubmitted: after_loss,
-                    from_lost_instance: after_loss,
+                    resubmitted,
+                    from_lost_instance: resubmitted,
                 };
-                match engine.submit(time(now), taken) {
+                match engine.submit(virtual_time(now), request) {
                     Admission::New(id) | Admission::InFlight(id) => {
-                        gateway.held.insert(id, number);
+                        gateway.message_numbers.insert(id, number);
                         true
                     }
                     _ => false,
                 }
             }
-            Client::BaselineClient(baseline) => {
+            OutboundClient::Baseline(baseline) => {
                 let repeatable = self.settings.classes[class].effect != Effect::Unsafe;
                 baseline.submit(number, partner, deadline, repeatable)
             }
         };
-        if !taken {
+        if !accepted {
             return self.complete(number, 1);
         }
-        gateway.holds.push(number);
-        self.messages[number as usize].waits = Some(now);
+        gateway.pending.push(number);
+        self.messages[number as usize].waiting_since = Some(now);
         self.advance(instance);
     }
 
+    /// Executes all commands that an instance has now, and schedules its next timer.
     pub(super) fn advance(&mut self, instance: u32) {
         self.run.advance_calls += 1;
         let now = self.now;
         let next = match &mut self.gateways[instance as usize].client {
-            Client::Module(engine) => {
-                let commands = engine.advance(time(now));
+            OutboundClient::Engine(engine) => {
+                let commands = engine.advance(virtual_time(now));
                 for command in commands {
                     self.execute(instance, command);
                 }
                 match &self.gateways[instance as usize].client {
-                    Client::Module(engine) => engine.next_timeout().map(|at| (at - Time::ZERO).max(now)),
-                    Client::BaselineClient(_) => None,
+                    OutboundClient::Engine(engine) => {
+                        engine.next_timeout().map(|at| (at - Time::ZERO).max(now))
+                    }
+                    OutboundClient::Baseline(_) => None,
                 }
             }
-            Client::BaselineClient(baseline) => {
-                let (done, next) = baseline.advance(now);
-                for one in done {
-                    match one {
+            OutboundClient::Baseline(baseline) => {
+                let (actions, next) = baseline.advance(now);
+                for action in actions {
+                    match action {
                         Action::Send { message, endpoint } => self.send(instance, endpoint, message, None),
                         Action::Probe { endpoint } => {
                             self.run.probes += 1;
-                            let (there, back) = (self.network_delay(), self.network_delay());
+                            let (outbound, inbound) = (self.network_delay(), self.network_delay());
                             let epoch = self.gateways[instance as usize].epoch;
-                            self.schedule(now + there + back, Event::Probed { instance, epoch, endpoint });
+                            self.schedule(
+                                now + outbound + inbound,
+                                Event::ProbeCompleted { instance, epoch, endpoint },
+                            );
                         }
                         Action::Expire { message, may_have_run } => {
-                            self.let_go(instance, message);
+                            self.remove_pending(instance, message);
                             self.complete(message, 1 + usize::from(may_have_run));
                         }
                     }
@@ -193,74 +202,80 @@
             }
         };
         let gateway = &mut self.gateways[instance as usize];
-        if let Some(next) = next.filter(|next| gateway.wake.is_none_or(|set| *next < set || set <= now)) {
-            gateway.wake = Some(next);
-            self.schedule(next, Event::Wake { instance });
+        if let Some(next) = next.filter(|next| gateway.next_timer.is_none_or(|set| *next < set || set <= now))
+        {
+            gateway.next_timer = Some(next);
+            self.schedule(next, Event::Timer { instance });
         }
     }
 
-    fn let_go(&mut self, instance: u32, number: u32) {
-        self.gateways[instance as usize].holds.retain(|other| *other != number);
+    /// Removes a completed message from those that clients resubmit after a restart.
+    fn remove_pending(&mut self, instance: u32, number: u32) {
+        self.gateways[instance as usize].pending.retain(|other| *other != number);
     }
 
     fn execute(&mut self, instance: u32, command: Command) {
         match command {
             Command::Send { endpoint, attempts } => {
                 for attempt in attempts {
-                    let held = self.gateways[instance as usize].held.get(&attempt.message).copied();
-                    if let Some(number) = held {
+                    let number =
+                        self.gateways[instance as usize].message_numbers.get(&attempt.message).copied();
+                    if let Some(number) = number {
                         self.send(instance, endpoint.0 as usize, number, Some(attempt));
                     }
                 }
             }
             Command::Abandon { attempt, .. } => {
-                // Its message waits again, if it is not over.
-                let held = self.gateways[instance as usize].held.get(&attempt.message).copied();
-                if let Some(number) = held.filter(|number| !self.messages[*number as usize].answered) {
-                    self.messages[number as usize].waits.get_or_insert(self.now);
+                // The message waits again unless it has completed.
+                let number = self.gateways[instance as usize].message_numbers.get(&attempt.message).copied();
+                if let Some(number) = number.filter(|number| !self.messages[*number as usize].completed) {
+                    self.messages[number as usize].waiting_since.get_or_insert(self.now);
                 }
             }
-            Command::Complete { message, outcome: answer, .. } => {
-                if let Some(number) = self.gateways[instance as usize].held.get(&message).copied() {
-                    self.let_go(instance, number);
-                    let place = match answer {
+            Command::Complete { message, outcome, .. } => {
+                if let Some(number) = self.gateways[instance as usize].message_numbers.get(&message).copied()
+                {
+                    self.remove_pending(instance, number);
+                    let outcome = match outcome {
                         FinalOutcome::Delivered => 0,
                         FinalOutcome::Rejected(_) => 1,
                         _ => 2,
                     };
-                    self.complete(number, place);
+                    self.complete(number, outcome);
                 }
             }
             Command::Evicted { message } => {
-                self.gateways[instance as usize].held.remove(&message);
+                self.gateways[instance as usize].message_numbers.remove(&message);
             }
             Command::CloseIdle { endpoint } => {
-                self.gateways[instance as usize].idle.remove(&(endpoint.0 as usize));
+                self.gateways[instance as usize].idle_connections.remove(&(endpoint.0 as usize));
             }
             Command::LateReceipt { .. } | Command::Probe { .. } | Command::Log { .. } => {}
         }
     }
 
+    /// Sends a call, over an idle connection if there is one, and checks that the instance may send it now.
     fn send(&mut self, instance: u32, endpoint: usize, number: u32, attempt: Option<Attempt>) {
         let now = self.now;
         self.stop_waiting(number);
         self.messages[number as usize].may_have_run = true;
-        let partner = self.sites.endpoints[endpoint].partner;
-        let apart = self.sites.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
+        let partner = self.partner_models.endpoints[endpoint].partner;
+        let own_limit_endpoint =
+            self.partner_models.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
         let grace = Duration::from_secs_f64(self.scenario.rules.drain_grace);
         let gateway = &mut self.gateways[instance as usize];
-        if gateway.waits.get(&(partner, apart)).is_some_and(|until| now < *until) {
+        if gateway.retry_after_until.get(&(partner, own_limit_endpoint)).is_some_and(|until| now < *until) {
             self.run.violations.early_retries += 1;
         }
-        let known_gone =
-            self.removals[..gateway.received_updates].iter().find(|removals| removals.gone == endpoint);
-        // Counted from the latest moment at which it can have heard of it.
-        if known_gone.is_some_and(|removals| now > removals.at + UPDATE_SPREAD.max(grace) + grace) {
+        let known_removal =
+            self.removals[..gateway.known_removals].iter().find(|removal| removal.endpoint == endpoint);
+        // The grace period starts at the latest time at which the instance can have received the update.
+        if known_removal.is_some_and(|removal| now > removal.at + MAX_UPDATE_DELAY.max(grace) + grace) {
             self.run.violations.sends_after_drain += 1;
         }
-        let idle = gateway.idle.entry(endpoint).or_default();
-        let fresh = Duration::from_secs_f64(self.scenario.connection_idle_timeout);
-        idle.retain(|since| now - *since < fresh);
+        let idle = gateway.idle_connections.entry(endpoint).or_default();
+        let idle_timeout = Duration::from_secs_f64(self.scenario.connection_idle_timeout);
+        idle.retain(|since| now - *since < idle_timeout);
         let connected = idle.pop().is_some();
         let epoch = gateway.epoch;
         let mut at = now + self.network_delay();
@@ -268,127 +283,132 @@
             self.run.record.connections += 1;
             at += Duration::from_secs_f64(self.scenario.connect_ms / 1e3);
         }
-        // `slow-for`: the first endpoint of each partner, for the first instances.
-        let first = self.sites.partners[partner].endpoints.first() == Some(&endpoint);
-        if first && self.slow_for_instances.is_some_and(|count| (instance as usize) < count) {
-            at += SLOW_FOR_DELAY;
+        // A `slow-for` fault delays calls of the first instances to the first endpoint of each partner.
+        let first = self.partner_models.partners[partner].endpoints.first() == Some(&endpoint);
+        if first && self.slow_instance_count.is_some_and(|count| (instance as usize) < count) {
+            at += SLOW_PATH_DELAY;
         }
         let call = self.calls.len();
-        self.calls.push(CallAt {
+        self.calls.push(CallState {
             instance,
             epoch,
             endpoint,
             message: number,
             attempt,
             reply: Reply::Reset,
-            refused_connection: false,
-            told: None,
-            load: LoadReport::default(),
+            connection_refused: false,
+            advertised_limit: None,
+            load_report: LoadReport::default(),
         });
-        self.schedule(at, Event::Reach { call });
+        self.schedule(at, Event::RequestArrived { call });
     }
 
-    pub(super) fn answer(&mut self, call: usize) {
+    /// Passes a response to the instance that sent the call, unless the instance was lost meanwhile.
+    pub(super) fn on_response_received(&mut self, call: usize) {
         let now = self.now;
-        let at = &self.calls[call];
-        let (instance, endpoint, number) = (at.instance, at.endpoint, at.message);
-        let partner = self.sites.endpoints[endpoint].partner;
-        let apart = self.sites.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
-        let (reply, load) = (at.reply, at.load);
+        let state = &self.calls[call];
+        let (instance, endpoint, number) = (state.instance, state.endpoint, state.message);
+        let partner = self.partner_models.endpoints[endpoint].partner;
+        let own_limit_endpoint =
+            self.partner_models.partners[partner].spec.limit_per_endpoint.then_some(endpoint);
+        let (reply, load) = (state.reply, state.load_report);
         let gateway = &mut self.gateways[instance as usize];
-        if gateway.epoch != at.epoch || gateway.down {
+        if gateway.epoch != state.epoch || gateway.down {
             return;
         }
-        if !at.refused_connection {
-            gateway.idle.entry(endpoint).or_default().push(now);
+        if !state.connection_refused {
+            gateway.idle_connections.entry(endpoint).or_default().push(now);
         }
         if let Reply::Rejected(Some(wait)) = reply {
-            let until = gateway.waits.entry((partner, apart)).or_default();
+            let until = gateway.retry_after_until.entry((partner, own_limit_endpoint)).or_default();
             *until = (*until).max(now + wait);
         }
-        let mut over = false;
+        let mut completed = false;
         match &mut gateway.client {
-            Client::Module(engine) => {
-                let reported = match reply {
-                    _ if at.refused_connection => TransportOutcome::ConnectFailed,
+            OutboundClient::Engine(engine) => {
+                let outcome = match reply {
+                    _ if state.connection_refused => TransportOutcome::ConnectFailed,
                     Reply::Processed => TransportOutcome::Processed,
                     Reply::Error => TransportOutcome::Error,
                     Reply::Rejected(wait) => TransportOutcome::Rejected(wait),
                     Reply::Truncated | Reply::Reset => TransportOutcome::Reset,
                 };
-                let allowance =
-                    at.told.map(|told| RateLimitStatus { remaining: told.remaining, limit: told.limit });
-                if let Some(attempt) = at.attempt {
-                    engine.on_attempt_completed(time(now), attempt, reported, allowance);
+                let rate_limit = state
+                    .advertised_limit
+                    .map(|limit| RateLimitStatus { remaining: limit.remaining, limit: limit.limit });
+                if let Some(attempt) = state.attempt {
+                    engine.on_attempt_completed(virtual_time(now), attempt, outcome, rate_limit);
                 }
             }
-            Client::BaselineClient(baseline) => {
-                let how = match reply {
-                    _ if at.refused_connection => AttemptResult::Rejected(None),
+            OutboundClient::Baseline(baseline) => {
+                let result = match reply {
+                    _ if state.connection_refused => AttemptResult::Rejected(None),
                     Reply::Processed => AttemptResult::Delivered,
                     Reply::Rejected(wait) => AttemptResult::Rejected(wait),
                     Reply::Error | Reply::Truncated | Reply::Reset => AttemptResult::Unknown,
                 };
-                over = baseline.on_attempt_completed(now, number, how, Some(load));
+                completed = baseline.on_attempt_completed(now, number, result, Some(load));
             }
         }
-        if over {
-            self.let_go(instance, number);
+        if completed {
+            self.remove_pending(instance, number);
             self.complete(number, 0);
-        } else if !self.messages[number as usize].answered && reply != Reply::Processed {
-            self.messages[number as usize].waits.get_or_insert(now);
+        } else if !self.messages[number as usize].completed && reply != Reply::Processed {
+            self.messages[number as usize].waiting_since.get_or_insert(now);
         }
         self.advance(instance);
     }
 
-    // ---- Loss ----
+    // ---- Loss and restart ----
 
-    pub(super) fn lose(&mut self, instance: u32) {
+    /// Loses an instance with all that it holds in memory, and schedules its restart.
+    pub(super) fn stop_instance(&mut self, instance: u32) {
         let gateway = &mut self.gateways[instance as usize];
         gateway.down = true;
         gateway.epoch += 1;
-        self.schedule(self.now + RESTARTED_AFTER, Event::Restarted { instance });
+        self.schedule(self.now + RESTART_DELAY, Event::InstanceRestarted { instance });
     }
 
-    pub(super) fn restarted(&mut self, instance: u32) {
+    /// Replaces a lost instance by a new one, to which the clients resubmit the pending messages.
+    pub(super) fn restart_instance(&mut self, instance: u32) {
         let seed = self.rng.random();
-        let fresh = self.gateway(instance as usize, seed);
+        let fresh = self.new_gateway(instance as usize, seed);
         let old = std::mem::replace(&mut self.gateways[instance as usize], fresh);
         self.gateways[instance as usize].epoch = old.epoch;
-        for number in old.holds {
+        for number in old.pending {
             self.stop_waiting(number);
             let message = &self.messages[number as usize];
             let class = &self.settings.classes[message.class];
-            // A client does not resubmit a message that may have run and may not be repeated.
-            if message.answered || (message.may_have_run && class.effect == Effect::Unsafe) {
-                if !message.answered {
+            // A client does not resubmit an unsafe message that may have taken effect.
+            if message.completed || (message.may_have_run && class.effect == Effect::Unsafe) {
+                if !message.completed {
                     self.complete(number, 2);
                 }
                 continue;
             }
-            let after_loss = message.may_have_run;
-            self.submit(instance, number, after_loss);
+            let resubmitted = message.may_have_run;
+            self.submit(instance, number, resubmitted);
         }
     }
 }
 
 impl Gateway {
-    /// A gateway that has just started: nothing queued, nothing learned.
-    fn new(client: Client) -> Gateway {
+    /// A gateway in its initial state: no messages, connections or endpoint list.
+    fn new(client: OutboundClient) -> Gateway {
         Gateway {
             client,
             epoch: 0,
-            wake: None,
-            waits: HashMap::new(),
-            held: HashMap::new(),
-            holds: Vec::new(),
-            idle: HashMap::new(),
-            received_updates: 0,
+            next_timer: None,
+            retry_after_until: HashMap::new(),
+            message_numbers: HashMap::new(),
+            pending: Vec::new(),
+            idle_connections: HashMap::new(),
+            known_removals: 0,
             down: false,
         }
     }
 
-    /// Placeholder while a gateway is being changed.
+    /// Stands in for a gateway that is moved out of the simulation while it is updated.
     fn placeholder() -> Gateway {
         let settings = BaselineSettings {
             instance: 0,
@@ -398,6 +418,6 @@
             concurrency_limit: 0,
             max_held: 0,
         };
-        Gateway::new(Client::BaselineClient(Box::new(BaselineClient::new(settings, 0))))
+        Gateway::new(OutboundClient::Baseline(Box::new(BaselineClient::new(settings, 0))))
     }
 }
