--- a/crates/simulator/scenarios/spread/burst.hcl
+++ b/crates/simulator/scenarios/spread/burst.hcl
@@ -1,4 +1,4 @@
-# As calm, but half as much again comes for ten seconds.
+# As calm.hcl, but traffic is 1.5 times the usual for ten seconds.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/calm.hcl
+++ b/crates/simulator/scenarios/spread/calm.hcl
@@ -1,4 +1,5 @@
-# 300 couriers, thin and unequal; hot partners wanted a little beyond their limits, some without any, some apart.
+# 300 gateway instances with low, unequal traffic. Demand for some partners slightly exceeds their limits; others have
+# no limit, or a limit per endpoint.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/clump.hcl
+++ b/crates/simulator/scenarios/spread/clump.hcl
@@ -1,4 +1,4 @@
-# As calm at half the traffic, but one bank is wanted at six times the usual for two seconds.
+# As calm.hcl at half the traffic, but traffic for the bank partners is six times the usual for two seconds.
 couriers  = 300
 seconds   = 30
 rate      = 300
--- a/crates/simulator/scenarios/spread/errors.hcl
+++ b/crates/simulator/scenarios/spread/errors.hcl
@@ -1,4 +1,4 @@
-# As calm, but a third of each partner's endpoints answers errors at once for eight seconds.
+# As calm.hcl, but a third of each partner's endpoints responds with an error at once for eight seconds.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/lowered.hcl
+++ b/crates/simulator/scenarios/spread/lowered.hcl
@@ -1,4 +1,4 @@
-# As calm, but limits fall to a third for ten seconds and are raised again.
+# As calm.hcl, but limits fall to a third for ten seconds and are then restored.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/replaced.hcl
+++ b/crates/simulator/scenarios/spread/replaced.hcl
@@ -1,4 +1,5 @@
-# As calm, but half of each partner's endpoints are replaced by cold ones; the news is four seconds on its way.
+# As calm.hcl, but half of each partner's endpoints are replaced by new ones that have to warm up. Gateway instances
+# receive the new endpoint list over four seconds.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/skew.hcl
+++ b/crates/simulator/scenarios/spread/skew.hcl
@@ -1,10 +1,10 @@
-# As calm, but one courier gets a third of all messages.
+# As calm.hcl, but one gateway instance gets a third of all messages.
 couriers  = 300
 seconds   = 30
 rate      = 600
 skew      = 0.5
 hot       = 0.33
-# Room for the busiest: all couriers are alike.
+# Concurrency limit and queue are sized for the busiest instance, because all instances have the same settings.
 call_slots = 40
 most_held  = 400
 report_ms = 500
--- a/crates/simulator/scenarios/spread/still.hcl
+++ b/crates/simulator/scenarios/spread/still.hcl
@@ -1,4 +1,4 @@
-# As calm, but what answers tell of load and limits stands still for ten seconds.
+# As calm.hcl, but the reports of load and limits in responses are frozen for ten seconds.
 couriers  = 300
 seconds   = 30
 rate      = 600
--- a/crates/simulator/scenarios/spread/wide.hcl
+++ b/crates/simulator/scenarios/spread/wide.hcl
@@ -1,4 +1,4 @@
-# 1,000 couriers and 5,000 endpoints of 500 partners, a call every half second from each courier.
+# 1,000 gateway instances and 5,000 endpoints of 500 partners; each instance gets a message every half second.
 couriers = 1000
 seconds  = 20
 rate     = 2000
--- a/crates/simulator/src/load_balance.rs
+++ b/crates/simulator/src/load_balance.rs
@@ -1,7 +1,7 @@
-//! Simulation of load balance between many gateway instances and endpoints: low and unequal traffic, shared limits,
-//! endpoints of unequal capacity, delayed reports. Compares the engine and delivery policy of the gateway with
-//! published
-//! rules of endpoint selection and rate limiting; the result is a record for `cloverstile-load-metrics`.
+//! Simulation of how the load of many gateway instances spreads over endpoints: low and unequal traffic, shared rate
+//! limits, endpoints of unequal capacity, delayed load reports. Compares the engine and delivery policy of the gateway
+//! with published algorithms for endpoint selection and rate limiting. A run yields a record for
+//! `cloverstile-load-metrics`.
 
 mod baseline_client;
 mod partners;
@@ -21,7 +21,7 @@
 pub use simulation::{simulate_load_balance, ClientPolicy, LoadBalanceRun, LoadBalanceViolations};
 pub use traffic::{Arrival, Traffic};
 
-/// Built-in load balance scenarios: name and text.
+/// Built-in load balance scenarios: name and HCL text.
 pub const LOAD_BALANCE_SCENARIOS: [(&str, &str); 9] = [
     ("calm", include_str!("../scenarios/spread/calm.hcl")),
     ("skew", include_str!("../scenarios/spread/skew.hcl")),
--- a/crates/simulator/src/load_balance/baseline_client.rs
+++ b/crates/simulator/src/load_balance/baseline_client.rs
@@ -1,5 +1,6 @@
-//! Baseline clients for comparison with the delivery policy: published rules of endpoint selection and rate limiting,
-//! around a plain queue: oldest first, retries after exponential backoff with full jitter. Not for production.
+//! Baseline clients for comparison with the delivery policy: published algorithms for endpoint selection and rate
+//! limiting around a plain queue, with the oldest message first and retries after exponential backoff with full jitter.
+//! Not for production.
 
 use super::partners::LoadReport;
 use super::selection::{EndpointSelection, EndpointState, InstancePosition, ProbePool, Selection};
@@ -8,24 +9,26 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Rule for keeping to a limit that all instances share.
+/// Algorithm that keeps a client within a rate limit that all instances share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Limiter {
-    /// No limiter.
+    /// No limiter: only `Retry-After` delays requests.
     None,
-    /// Additive increase, multiplicative decrease: a call a second more each second, half at a refusal.
+    /// Additive increase, multiplicative decrease: the rate rises by one request per second each second and is halved
+    /// by each rejection.
     Aimd,
-    /// The advertised rate over the number of instances.
+    /// The advertised rate divided by the number of instances.
     FairShare,
-    /// Adaptive throttling: the client rejects with the probability `(asked - 2 accepted) / (asked + 1)`.
+    /// Adaptive throttling: the client holds a request back with probability
+    /// `(requested - 2 * accepted) / (requested + 1)`.
     Adaptive,
 }
 
 impl Limiter {
-    /// All of them.
+    /// All algorithms, in the order of declaration.
     pub const ALL: [Limiter; 4] = [Limiter::None, Limiter::Aimd, Limiter::FairShare, Limiter::Adaptive];
 
-    /// The name that command lines use.
+    /// The name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Limiter::None => "none",
@@ -36,47 +39,55 @@
     }
 }
 
-/// Probes with each call.
-const PROBES: usize = 2;
-/// Seconds over which adaptive throttling counts.
-const COUNTED_S: f64 = 30.0;
-/// Shortest and longest backoff before a retry.
-const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Probes sent with each request.
+const PROBES_PER_REQUEST: usize = 2;
+/// Time constant, in seconds, with which the counts of adaptive throttling decay.
+const THROTTLING_DECAY_S: f64 = 30.0;
+/// The backoff before a retry is drawn uniformly between zero and this base, doubled for each attempt so far, but at most
+/// the maximum.
+const BASE_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// An attempt without a response fails after so long.
+/// An attempt without a response has an unknown outcome after this time.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Settings of a baseline client.
 #[derive(Clone, Copy, Debug)]
 pub struct BaselineSettings {
+    /// Index of the instance.
     pub instance: usize,
+    /// Number of all instances.
     pub instances: usize,
     pub selection: EndpointSelection,
     pub limiter: Limiter,
+    /// Most requests in flight.
     pub concurrency_limit: usize,
+    /// Most messages held, queued or in flight.
     pub max_held: usize,
 }
 
-/// An action of a baseline client.
+/// What a baseline client asks its caller to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message.
+    /// Send a message to an endpoint.
     Send { message: u32, endpoint: usize },
-    /// Ask an endpoint for its load.
+    /// Ask an endpoint for its present load.
     Probe { endpoint: usize },
-    /// The message expires; `may_have_run` states whether it may have taken effect.
+    /// Give up a message that has not been delivered; `may_have_run` tells whether it may have taken effect.
     Expire { message: u32, may_have_run: bool },
 }
 
+/// A message that the client holds.
 struct PendingMessage {
     partner: usize,
     deadline: Duration,
     repeatable: bool,
-    tries: u32,
+    attempts: u32,
     may_have_run: bool,
-    out: Option<(usize, Duration)>,
+    /// Endpoint and time of the attempt in flight.
+    in_flight: Option<(usize, Duration)>,
 }
 
+/// Client-side state of a partner.
 #[derive(Default)]
 struct Partner {
     endpoints: Vec<usize>,
@@ -84,14 +95,16 @@
     /// Round-robin position.
     position: usize,
     queue: VecDeque<u32>,
-    /// Rate of the limiter, and its tokens.
+    /// Token bucket of the limiter: rate, tokens and time of the last refill.
     rate: f64,
     tokens: f64,
-    filled: Duration,
-    asked: f64,
+    refilled_at: Duration,
+    /// Decaying counts of adaptive throttling, and the time of the last decay.
+    requested: f64,
     accepted: f64,
-    counted: Duration,
-    wait: Duration,
+    decayed_at: Duration,
+    /// Latest end of the `Retry-After` times received.
+    blocked_until: Duration,
 }
 
 /// A baseline client: an endpoint selection and a limiter.
@@ -99,13 +112,16 @@
     settings: BaselineSettings,
     rng: ChaCha8Rng,
     partners: Vec<Partner>,
-    known: BTreeMap<usize, EndpointState>,
+    endpoint_states: BTreeMap<usize, EndpointState>,
     probe_pool: ProbePool,
     messages: BTreeMap<u32, PendingMessage>,
-    later: BTreeSet<(Duration, u32)>,
+    /// Messages that wait for their backoff to end, by that time.
+    retries: BTreeSet<(Duration, u32)>,
     deadlines: BTreeSet<(Duration, u32)>,
-    out: usize,
-    first: usize,
+    /// Requests in flight to all partners.
+    in_flight: usize,
+    /// Partner that is served first next time; rotates, so that none is always first.
+    first_partner: usize,
 }
 
 impl BaselineClient {
@@ -114,24 +130,24 @@
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
             partners: Vec::new(),
-            known: BTreeMap::new(),
+            endpoint_states: BTreeMap::new(),
             probe_pool: ProbePool::default(),
             messages: BTreeMap::new(),
-            later: BTreeSet::new(),
+            retries: BTreeSet::new(),
             deadlines: BTreeSet::new(),
-            out: 0,
-            first: 0,
+            in_flight: 0,
+            first_partner: 0,
         }
     }
 
-    /// Updates the endpoints of each partner that accept requests, and each partner's advertised limit.
+    /// Updates, for each partner, the endpoints that accept requests and the advertised rate limit.
     pub fn update_endpoints(&mut self, lists: Vec<(Vec<usize>, Option<f64>)>) {
         self.partners.resize_with(lists.len(), Partner::default);
-        let even = 1.0 / self.settings.instances.max(1) as f64;
+        let fair_share = 1.0 / self.settings.instances.max(1) as f64;
         for (partner, (endpoints, rate)) in self.partners.iter_mut().zip(lists) {
             if partner.advertised_rate.is_none() {
-                // One request may go at once; the rate begins at the fair share.
-                partner.rate = rate.map_or(f64::INFINITY, |rate| rate * even);
+                // The rate starts at the fair share, with a token for one immediate request.
+                partner.rate = rate.map_or(f64::INFINITY, |rate| rate * fair_share);
                 partner.tokens = 1.0;
             }
             partner.advertised_rate = rate;
@@ -139,14 +155,20 @@
         }
     }
 
-    /// Takes a message; false if as many are held as may be.
+    /// Queues a message. Returns false and drops it if the client already holds the maximum.
     pub fn submit(&mut self, message: u32, partner: usize, deadline: Duration, repeatable: bool) -> bool {
         if self.messages.len() >= self.settings.max_held {
             return false;
         }
-        let waiting =
-            PendingMessage { partner, deadline, repeatable, tries: 0, may_have_run: false, out: None };
-        self.messages.insert(message, waiting);
+        let pending = PendingMessage {
+            partner,
+            deadline,
+            repeatable,
+            attempts: 0,
+            may_have_run: false,
+            in_flight: None,
+        };
+        self.messages.insert(message, pending);
         self.deadlines.insert((deadline, message));
         if let Some(partner) = self.partners.get_mut(partner) {
             partner.queue.push_back(message);
@@ -154,141 +176,142 @@
         true
     }
 
-    fn forget(&mut self, message: u32) {
-        let Some(waiting) = self.messages.remove(&message) else { return };
-        self.deadlines.remove(&(waiting.deadline, message));
-        if let Some(partner) = self.partners.get_mut(waiting.partner) {
+    fn remove_message(&mut self, message: u32) {
+        let Some(pending) = self.messages.remove(&message) else { return };
+        self.deadlines.remove(&(pending.deadline, message));
+        if let Some(partner) = self.partners.get_mut(pending.partner) {
             partner.queue.retain(|other| *other != message);
         }
-        if let Some((endpoint, _)) = waiting.out {
-            self.out -= 1;
-            self.known
+        if let Some((endpoint, _)) = pending.in_flight {
+            self.in_flight -= 1;
+            self.endpoint_states
                 .entry(endpoint)
-                .and_modify(|known| known.in_flight = known.in_flight.saturating_sub(1));
+                .and_modify(|state| state.in_flight = state.in_flight.saturating_sub(1));
         }
     }
 
-    /// An attempt completed: delivered, rejected (with its `Retry-After`, if any), or of unknown outcome. True if
-    /// this completes the message.
+    /// Records the result of an attempt and schedules a retry if it was not delivered. Returns true if the message is
+    /// completed. A result of an attempt that is no longer in flight is ignored.
     pub fn on_attempt_completed(
         &mut self,
         now: Duration,
         message: u32,
-        how: AttemptResult,
+        result: AttemptResult,
         load: Option<LoadReport>,
     ) -> bool {
-        let Some(waiting) = self.messages.get_mut(&message) else { return false };
-        let Some((endpoint, sent)) = waiting.out.take() else { return false };
-        self.out -= 1;
-        let known = self.known.entry(endpoint).or_default();
-        known.in_flight = known.in_flight.saturating_sub(1);
-        known.load = load.unwrap_or(known.load);
-        let partner = &mut self.partners[waiting.partner];
-        match how {
+        let Some(pending) = self.messages.get_mut(&message) else { return false };
+        let Some((endpoint, sent)) = pending.in_flight.take() else { return false };
+        self.in_flight -= 1;
+        let state = self.endpoint_states.entry(endpoint).or_default();
+        state.in_flight = state.in_flight.saturating_sub(1);
+        state.load = load.unwrap_or(state.load);
+        let partner = &mut self.partners[pending.partner];
+        match result {
             AttemptResult::Delivered => {
-                known.latency = 0.8 * known.latency + 0.2 * (now - sent).as_secs_f64();
+                state.latency = 0.8 * state.latency + 0.2 * (now - sent).as_secs_f64();
                 partner.accepted += 1.0;
-                self.forget(message);
+                self.remove_message(message);
                 return true;
             }
             AttemptResult::Rejected(wait) => {
-                partner.wait = partner.wait.max(now + wait.unwrap_or_default());
+                partner.blocked_until = partner.blocked_until.max(now + wait.unwrap_or_default());
                 if self.settings.limiter == Limiter::Aimd {
                     partner.rate = (partner.rate.min(1e6) / 2.0).max(0.05);
                 }
             }
-            AttemptResult::Unknown => waiting.may_have_run = true,
+            AttemptResult::Unknown => pending.may_have_run = true,
         }
-        let gap = (MIN_BACKOFF * 2u32.saturating_pow(waiting.tries.min(10))).min(MAX_BACKOFF);
-        let gap = gap.mul_f64(self.rng.random::<f64>());
-        self.later.insert((now + gap, message));
+        let backoff = (BASE_BACKOFF * 2u32.saturating_pow(pending.attempts.min(10))).min(MAX_BACKOFF);
+        let backoff = backoff.mul_f64(self.rng.random::<f64>());
+        self.retries.insert((now + backoff, message));
         false
     }
 
-    /// A probe came back.
+    /// Records the response to a probe: the requests in flight at the endpoint.
     pub fn on_probe_completed(&mut self, now: Duration, endpoint: usize, in_flight: f64) {
-        let latency = self.known.entry(endpoint).or_default().latency;
+        let latency = self.endpoint_states.entry(endpoint).or_default().latency;
         self.probe_pool.add(now, endpoint, in_flight, latency);
     }
 
-    /// All that can be done now, and when to ask again.
+    /// Returns the actions that are due, and when to call again; `None` if there is nothing to wait for.
     pub fn advance(&mut self, now: Duration) -> (Vec<Action>, Option<Duration>) {
-        let mut done = Vec::new();
-        while let Some(&(at, message)) = self.later.first().filter(|(at, _)| *at <= now) {
-            self.later.remove(&(at, message));
-            let Some(waiting) = self.messages.get(&message) else { continue };
-            if waiting.may_have_run && !waiting.repeatable {
-                done.push(Action::Expire { message, may_have_run: true });
-                self.forget(message);
-            } else if waiting.out.is_none() {
-                // Repeats go first: they are the oldest.
-                self.partners[waiting.partner].queue.push_front(message);
+        let mut actions = Vec::new();
+        while let Some(&(at, message)) = self.retries.first().filter(|(at, _)| *at <= now) {
+            self.retries.remove(&(at, message));
+            let Some(pending) = self.messages.get(&message) else { continue };
+            if pending.may_have_run && !pending.repeatable {
+                actions.push(Action::Expire { message, may_have_run: true });
+                self.remove_message(message);
+            } else if pending.in_flight.is_none() {
+                // Retries go to the front of the queue because they are the oldest.
+                self.partners[pending.partner].queue.push_front(message);
             }
         }
-        let slow: Vec<u32> = self
+        let timed_out: Vec<u32> = self
             .messages
             .iter()
-            .filter(|(_, waiting)| waiting.out.is_some_and(|(_, sent)| now >= sent + ATTEMPT_TIMEOUT))
+            .filter(|(_, pending)| pending.in_flight.is_some_and(|(_, sent)| now >= sent + ATTEMPT_TIMEOUT))
             .map(|(message, _)| *message)
             .collect();
-        for message in slow {
+        for message in timed_out {
             self.on_attempt_completed(now, message, AttemptResult::Unknown, None);
         }
         while let Some(&(at, message)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, message));
-            let ran = self.messages.get(&message).is_some_and(|w| w.may_have_run || w.out.is_some());
-            done.push(Action::Expire { message, may_have_run: ran });
-            self.forget(message);
+            let may_have_run =
+                self.messages.get(&message).is_some_and(|m| m.may_have_run || m.in_flight.is_some());
+            actions.push(Action::Expire { message, may_have_run });
+            self.remove_message(message);
         }
         let mut next: Option<Duration> = None;
-        let mut earlier = |at: Duration| next = Some(next.map_or(at, |next| next.min(at)));
+        let mut wake_at = |at: Duration| next = Some(next.map_or(at, |next| next.min(at)));
         let count = self.partners.len();
-        for place in (0..count).map(|place| (place + self.first) % count.max(1)).collect::<Vec<_>>() {
-            while self.out < self.settings.concurrency_limit && !self.partners[place].queue.is_empty() {
-                if let Err(at) = self.permitted(now, place) {
+        for index in (0..count).map(|index| (index + self.first_partner) % count.max(1)).collect::<Vec<_>>() {
+            while self.in_flight < self.settings.concurrency_limit && !self.partners[index].queue.is_empty() {
+                if let Err(at) = self.acquire_permit(now, index) {
                     if let Some(at) = at {
-                        earlier(at);
+                        wake_at(at);
                     }
                     break;
                 }
-                let Some(endpoint) = self.choose(now, place, &mut done) else { break };
-                let Some(message) = self.partners[place].queue.pop_front() else { break };
-                let Some(waiting) = self.messages.get_mut(&message) else { continue };
-                waiting.tries += 1;
-                waiting.out = Some((endpoint, now));
-                self.out += 1;
-                self.known.entry(endpoint).or_default().in_flight += 1;
-                earlier(now + ATTEMPT_TIMEOUT);
-                done.push(Action::Send { message, endpoint });
+                let Some(endpoint) = self.select_endpoint(now, index, &mut actions) else { break };
+                let Some(message) = self.partners[index].queue.pop_front() else { break };
+                let Some(pending) = self.messages.get_mut(&message) else { continue };
+                pending.attempts += 1;
+                pending.in_flight = Some((endpoint, now));
+                self.in_flight += 1;
+                self.endpoint_states.entry(endpoint).or_default().in_flight += 1;
+                wake_at(now + ATTEMPT_TIMEOUT);
+                actions.push(Action::Send { message, endpoint });
             }
         }
-        self.first = self.first.wrapping_add(1);
-        if let Some((at, _)) = self.later.first() {
-            earlier(*at);
+        self.first_partner = self.first_partner.wrapping_add(1);
+        if let Some((at, _)) = self.retries.first() {
+            wake_at(*at);
         }
         if let Some((at, _)) = self.deadlines.first() {
-            earlier(*at);
+            wake_at(*at);
         }
-        (done, next)
+        (actions, next)
     }
 
-    /// Whether a call to a partner may go now; if not, when to ask again.
-    fn permitted(&mut self, now: Duration, place: usize) -> Result<(), Option<Duration>> {
+    /// Takes a permit for a request to a partner; an error holds the time to try again, if known.
+    fn acquire_permit(&mut self, now: Duration, index: usize) -> Result<(), Option<Duration>> {
         let limiter = self.settings.limiter;
-        let partner = &mut self.partners[place];
-        if partner.wait > now {
-            return Err(Some(partner.wait));
+        let partner = &mut self.partners[index];
+        if partner.blocked_until > now {
+            return Err(Some(partner.blocked_until));
         }
-        let passed = now.saturating_sub(partner.filled).as_secs_f64();
-        partner.filled = now;
+        let elapsed = now.saturating_sub(partner.refilled_at).as_secs_f64();
+        partner.refilled_at = now;
         match limiter {
             Limiter::None => Ok(()),
             _ if partner.advertised_rate.is_none() && limiter != Limiter::Adaptive => Ok(()),
             Limiter::Aimd | Limiter::FairShare => {
                 if limiter == Limiter::Aimd {
-                    partner.rate = (partner.rate + passed).min(partner.advertised_rate.unwrap_or(1e6));
+                    partner.rate = (partner.rate + elapsed).min(partner.advertised_rate.unwrap_or(1e6));
                 }
-                partner.tokens = (partner.tokens + passed * partner.rate).min((partner.rate * 0.4).max(1.0));
+                partner.tokens = (partner.tokens + elapsed * partner.rate).min((partner.rate * 0.4).max(1.0));
                 if partner.tokens < 1.0 {
                     let wait = ((1.0 - partner.tokens) / partner.rate.max(1e-3)).clamp(0.001, 60.0);
                     return Err(Some(now + Duration::from_secs_f64(wait)));
@@ -297,27 +320,30 @@
                 Ok(())
             }
             Limiter::Adaptive => {
-                let fade = (-now.saturating_sub(partner.counted).as_secs_f64() / COUNTED_S).exp();
-                (partner.asked, partner.accepted) = (partner.asked * fade + 1.0, partner.accepted * fade);
-                partner.counted = now;
-                let refuse = (partner.asked - 2.0 * partner.accepted) / (partner.asked + 1.0);
-                if self.rng.random::<f64>() < refuse {
-                    // Refused by itself: asked again after a gap.
-                    return Err(Some(now + MIN_BACKOFF.mul_f64(0.5 + self.rng.random::<f64>())));
+                let decay =
+                    (-now.saturating_sub(partner.decayed_at).as_secs_f64() / THROTTLING_DECAY_S).exp();
+                (partner.requested, partner.accepted) =
+                    (partner.requested * decay + 1.0, partner.accepted * decay);
+                partner.decayed_at = now;
+                let hold_back_probability =
+                    (partner.requested - 2.0 * partner.accepted) / (partner.requested + 1.0);
+                if self.rng.random::<f64>() < hold_back_probability {
+                    // Throttled by the client itself: try again after a random delay.
+                    return Err(Some(now + BASE_BACKOFF.mul_f64(0.5 + self.rng.random::<f64>())));
                 }
                 Ok(())
             }
         }
     }
 
-    fn choose(&mut self, now: Duration, place: usize, done: &mut Vec<Action>) -> Option<usize> {
-        let BaselineClient { settings, rng, partners, known, probe_pool, .. } = self;
-        let Partner { endpoints, position, .. } = &mut partners[place];
+    fn select_endpoint(&mut self, now: Duration, index: usize, actions: &mut Vec<Action>) -> Option<usize> {
+        let BaselineClient { settings, rng, partners, endpoint_states, probe_pool, .. } = self;
+        let Partner { endpoints, position, .. } = &mut partners[index];
         if endpoints.is_empty() {
             return None;
         }
         let instance = InstancePosition { index: settings.instance, count: settings.instances };
-        let mut selection = Selection { rng, endpoints, states: known, position, instance };
+        let mut selection = Selection { rng, endpoints, states: endpoint_states, position, instance };
         match settings.selection {
             EndpointSelection::Random => Some(selection.random()),
             EndpointSelection::RoundRobin => Some(selection.round_robin(selection.endpoints)),
@@ -334,20 +360,21 @@
             }
             EndpointSelection::WeightedByReports => Some(selection.weighted_by_reports()),
             EndpointSelection::Probed => {
-                done.extend((0..PROBES).map(|_| Action::Probe { endpoint: selection.random() }));
+                actions
+                    .extend((0..PROBES_PER_REQUEST).map(|_| Action::Probe { endpoint: selection.random() }));
                 Some(probe_pool.choose(now, selection.endpoints).unwrap_or_else(|| selection.random()))
             }
         }
     }
 }
 
-/// Result of an attempt.
+/// Result of an attempt as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptResult {
-    /// Delivered.
+    /// The partner processed the message.
     Delivered,
-    /// It has not run; the `Retry-After`, if any.
+    /// The message has not taken effect: rejected, with a `Retry-After` if any, or the connection was refused.
     Rejected(Option<Duration>),
-    /// It may have run.
+    /// The message may have taken effect: an error, a broken connection or no response in time.
     Unknown,
 }
--- a/crates/simulator/src/load_balance/partners.rs
+++ b/crates/simulator/src/load_balance/partners.rs
@@ -1,4 +1,5 @@
-//! Partners of a load balance scenario: endpoints of their own capacity behind limits that are shared or per endpoint.
+//! Simulated partners of a load balance scenario: endpoints of different capacity, behind a rate limit that either all
+//! endpoints of a partner share or each endpoint has for itself.
 
 use super::scenario::{LoadBalanceScenario, PartnerSpec};
 use cloverstile_fakes::limit::{AdvertisedLimit, SharedLimit};
@@ -11,73 +12,77 @@
 /// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointFault {
-    /// Errors at once.
+    /// Every request gets an error response at once.
     Errors,
-    /// Silence.
+    /// No request gets a response.
     Silent,
-    /// Three times as slow.
+    /// Requests take three times as long.
     Slow,
 }
 
-/// An endpoint.
+/// An endpoint of a partner: its server model, state and load report.
 pub struct SimulatedEndpoint {
     /// Index of its partner.
     pub partner: usize,
-    /// Its capacity factor.
+    /// Its capacity relative to an endpoint of factor 1; also its weight in the load record.
     pub capacity_factor: f64,
-    /// The model of its server.
+    /// The model that decides how and when requests are answered.
     pub model: PartnerModel,
-    /// Beginning of its service.
+    /// When it was added.
     pub in_service_from: Duration,
-    /// End of its service.
+    /// When it leaves service; [`Duration::MAX`] until it is replaced.
     pub in_service_until: Duration,
-    /// Connections are refused.
+    /// Replaced and out of service: connections are refused.
     pub removed: bool,
+    /// Whether [`EndpointFault::Errors`] is in effect.
     errors: bool,
-    /// Requests in flight.
+    /// Requests queued or in service.
     pub in_flight: u32,
+    /// Responses sent since the last load report.
     served: u32,
+    /// The last load report and its time.
     report: (Duration, LoadReport),
 }
 
-/// A report of load, some time old.
+/// The load of an endpoint as last reported. It may be out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Requests queued or in service at the endpoint.
     pub in_flight: f64,
-    /// Calls served a second.
+    /// Responses per second since the report before.
     pub served_per_second: f64,
 }
 
-/// A partner.
+/// A partner: its endpoints and rate limits.
 pub struct SimulatedPartner {
-    /// Its block in the scenario.
+    /// Its settings in the scenario.
     pub spec: PartnerSpec,
-    /// Places of its endpoints.
+    /// Indices of its endpoints in [`SimulatedPartners::endpoints`].
     pub endpoints: Vec<usize>,
-    /// One for all, or one for each endpoint in the order of `endpoints`; none without a limit.
+    /// Either one limit that all endpoints share, or one for each endpoint in the order of `endpoints`; empty without
+    /// a limit.
     pub limits: Vec<SharedLimit>,
-    /// How many times their usual rate those have now.
-    factor: f64,
+    /// Present multiple of the usual rate of `limits`.
+    limit_factor: f64,
 }
 
 impl SimulatedPartner {
-    /// Calls a second that it takes from all instances together, where it has a limit.
+    /// Requests per second that it accepts from all instances together; `None` without a limit.
     pub fn total_limit(&self) -> Option<f64> {
         (!self.limits.is_empty()).then(|| self.limits.iter().map(SharedLimit::rate).sum())
     }
 
-    /// Its limits are so many times their usual rate from now on.
+    /// Sets its limits to a multiple of their usual rate. A factor set before is replaced.
     pub fn set_limit_factor(&mut self, now: Duration, factor: f64) {
-        let before = std::mem::replace(&mut self.factor, factor);
+        let previous = std::mem::replace(&mut self.limit_factor, factor);
         for limit in &mut self.limits {
-            limit.set_rate(now, limit.rate() * (factor / before.max(1e-9)));
+            limit.set_rate(now, limit.rate() * (factor / previous.max(1e-9)));
         }
     }
 }
 
 impl SimulatedEndpoint {
-    /// Its entry in the load record.
+    /// Its entry in the load record, weighted by the capacity factor.
     pub fn record_entry(&self) -> Endpoint {
         Endpoint {
             partner: self.partner,
@@ -88,30 +93,31 @@
     }
 }
 
-/// All partners.
+/// All partners of a run and their endpoints.
 pub struct SimulatedPartners {
-    /// By number.
+    /// Partners by index; each copy has its own.
     pub partners: Vec<SimulatedPartner>,
-    /// By place.
+    /// Endpoints of all partners by index. Replaced endpoints stay in the list.
     pub endpoints: Vec<SimulatedEndpoint>,
     report_interval: Duration,
     reports_frozen: bool,
-    /// Weights of endpoints whose partner has no limit: calls a second that the partner can serve.
+    /// For each endpoint, the requests per second that its partner can serve; its weight if the partner has no limit.
     partner_capacities: Vec<f64>,
 }
 
-/// Response of an endpoint to a call.
+/// Response of an endpoint to a request.
 pub struct EndpointResponse {
-    /// Decision of the server model.
+    /// Reply, time of the response and effect, as the server model decided.
     pub decision: ServerDecision,
-    /// Rate limit that the response advertises.
+    /// Rate limit that the response advertises, if any.
     pub advertised_limit: Option<AdvertisedLimit>,
-    /// Load report in the response.
+    /// Load report that the response carries.
     pub load: LoadReport,
 }
 
 impl EndpointResponse {
-    /// How the call ends, as the endpoint sees it.
+    /// Outcome of the request as the endpoint sees it. A request with an error or without a complete response
+    /// has failed.
     pub fn outcome(&self) -> Outcome {
         match self.decision.reply {
             Reply::Rejected(_) => Outcome::Rejected,
@@ -122,10 +128,10 @@
 }
 
 impl SimulatedPartners {
-    /// All partners of a scenario.
+    /// Creates the partners of a scenario; draws the capacity factors of their endpoints.
     pub fn new(scenario: &LoadBalanceScenario, rng: &mut ChaCha8Rng) -> SimulatedPartners {
         let report_interval = Duration::from_secs_f64(scenario.report_interval_ms / 1e3);
-        let mut sites = SimulatedPartners {
+        let mut simulated = SimulatedPartners {
             partners: Vec::new(),
             endpoints: Vec::new(),
             report_interval,
@@ -134,35 +140,35 @@
         };
         for spec in scenario.partner.values() {
             for _ in 0..spec.copies {
-                let number = sites.partners.len();
+                let partner_index = simulated.partners.len();
                 let (endpoints, limits) = (Vec::new(), Vec::new());
-                let partner = SimulatedPartner { spec: spec.clone(), endpoints, limits, factor: 1.0 };
-                sites.partners.push(partner);
+                let partner = SimulatedPartner { spec: spec.clone(), endpoints, limits, limit_factor: 1.0 };
+                simulated.partners.push(partner);
                 for _ in 0..spec.endpoints {
                     let [least, most] = spec.capacity_factors;
                     let capacity_factor = least * (most / least).powf(rng.random::<f64>());
-                    sites.add_endpoint(scenario, number, capacity_factor, Duration::ZERO, rng);
+                    simulated.add_endpoint(scenario, partner_index, capacity_factor, Duration::ZERO, rng);
                 }
-                let partner = &mut sites.partners[number];
+                let partner = &mut simulated.partners[partner_index];
                 let factors: Vec<f64> =
-                    partner.endpoints.iter().map(|e| sites.endpoints[*e].capacity_factor).collect();
-                let (all, count) = (factors.iter().sum::<f64>(), factors.len());
+                    partner.endpoints.iter().map(|e| simulated.endpoints[*e].capacity_factor).collect();
+                let (total_factor, count) = (factors.iter().sum::<f64>(), factors.len());
                 partner.limits = match spec.limit {
                     None => Vec::new(),
                     Some(limit) if spec.limit_per_endpoint => {
-                        let own = |factor: &f64| {
-                            SharedLimit::new(scenario.limit_settings(spec, limit * factor / all), 1)
+                        let own_limit = |factor: &f64| {
+                            SharedLimit::new(scenario.limit_settings(spec, limit * factor / total_factor), 1)
                         };
-                        factors.iter().map(own).collect()
+                        factors.iter().map(own_limit).collect()
                     }
                     Some(limit) => vec![SharedLimit::new(scenario.limit_settings(spec, limit), count)],
                 };
             }
         }
-        sites
+        simulated
     }
 
-    /// One more endpoint of a partner; returns its place.
+    /// Adds an endpoint to a partner and returns its index. After the start of the run, it has to warm up.
     pub fn add_endpoint(
         &mut self,
         scenario: &LoadBalanceScenario,
@@ -176,11 +182,11 @@
         self.partner_capacities.push(profile.capacity() * spec.endpoints as f64);
         let mut model = PartnerModel::new(profile, ChaCha8Rng::seed_from_u64(rng.random()));
         if now > Duration::ZERO {
-            // A new endpoint warms up, as a recovering one does.
+            // A new endpoint warms up like one that recovers from an outage, so an outage begins and ends here.
             model.begin_fault(Fault::RefuseConnections, now);
             model.end_fault(now);
         }
-        let place = self.endpoints.len();
+        let index = self.endpoints.len();
         self.endpoints.push(SimulatedEndpoint {
             partner,
             capacity_factor,
@@ -194,34 +200,36 @@
             report: (now, LoadReport::default()),
         });
         let partner = &mut self.partners[partner];
-        partner.endpoints.push(place);
+        partner.endpoints.push(index);
         if partner.spec.limit_per_endpoint && !partner.limits.is_empty() {
-            // It takes over the limit of the endpoint that it replaces: the same capacity factor and settings.
+            // The new endpoint takes over the limit of the one it replaces, which has the same capacity factor and
+            // settings.
             let rate = partner.limits[0].rate();
             partner.limits.push(SharedLimit::new(scenario.limit_settings(&partner.spec, rate), 1));
         } else if let Some(limit) = partner.limits.first_mut() {
             limit.add_endpoint();
         }
-        place
+        index
     }
 
+    /// The limit that applies to an endpoint, and the position of the endpoint in it.
     fn limit(&mut self, endpoint: usize) -> Option<(&mut SharedLimit, usize)> {
         let partner = &mut self.partners[self.endpoints[endpoint].partner];
-        let place = partner.endpoints.iter().position(|e| *e == endpoint)?;
+        let position = partner.endpoints.iter().position(|e| *e == endpoint)?;
         match partner.spec.limit_per_endpoint {
-            true => partner.limits.get_mut(place).map(|limit| (limit, 0)),
-            false => partner.limits.first_mut().map(|limit| (limit, place)),
+            true => partner.limits.get_mut(position).map(|limit| (limit, 0)),
+            false => partner.limits.first_mut().map(|limit| (limit, position)),
         }
     }
 
-    /// Weight of an endpoint in the endpoint list: calls a second of its limit, or of its partner's; without a
-    /// limit, what its partner can serve.
+    /// Weight of an endpoint in the endpoint list, in requests per second: its own limit or the one that its partner
+    /// shares; without a limit, what its partner can serve.
     pub fn listed_weight(&mut self, endpoint: usize) -> f64 {
         let capacity = self.partner_capacities[endpoint];
         self.limit(endpoint).map_or(capacity, |(limit, _)| limit.rate())
     }
 
-    /// Freezes the reports of load and limits, or resumes them.
+    /// Freezes the reports of load and limits at their present values, or resumes them.
     pub fn freeze_reports(&mut self, frozen: bool) {
         self.reports_frozen = frozen;
         for limit in self.partners.iter_mut().flat_map(|partner| &mut partner.limits) {
@@ -229,67 +237,70 @@
         }
     }
 
-    /// The first of a partner's endpoints in service, as many as the share says.
+    /// The first endpoints in service of a partner, as many as make up this share (rounded up).
     pub fn first_in_service(&self, partner: usize, share: f64) -> Vec<usize> {
-        let of = self.partners[partner].endpoints.iter().copied();
-        let there: Vec<usize> = of.filter(|e| !self.endpoints[*e].removed).collect();
-        let count = (there.len() as f64 * share).ceil() as usize;
-        there.into_iter().take(count).collect()
+        let endpoints = self.partners[partner].endpoints.iter().copied();
+        let in_service: Vec<usize> = endpoints.filter(|e| !self.endpoints[*e].removed).collect();
+        let count = (in_service.len() as f64 * share).ceil() as usize;
+        in_service.into_iter().take(count).collect()
     }
 
-    /// The load report of an endpoint.
+    /// The load report of an endpoint; renewed first if it is older than the report interval and reports are not
+    /// frozen.
     pub fn load_report(&mut self, now: Duration, endpoint: usize) -> LoadReport {
         let (interval, frozen) = (self.report_interval, self.reports_frozen);
-        let at = &mut self.endpoints[endpoint];
-        let age = now.saturating_sub(at.report.0);
+        let state = &mut self.endpoints[endpoint];
+        let age = now.saturating_sub(state.report.0);
         if age >= interval && !frozen {
-            let served_per_second = f64::from(std::mem::take(&mut at.served)) / age.as_secs_f64().max(1e-3);
-            at.report = (now, LoadReport { in_flight: f64::from(at.in_flight), served_per_second });
+            let served_per_second =
+                f64::from(std::mem::take(&mut state.served)) / age.as_secs_f64().max(1e-3);
+            state.report = (now, LoadReport { in_flight: f64::from(state.in_flight), served_per_second });
         }
-        at.report.1
+        state.report.1
     }
 
     /// Handles a complete request. If the response leaves at a known later time, the caller calls
     /// [`SimulatedPartners::on_response_sent`] at that time.
     pub fn handle_request(&mut self, now: Duration, endpoint: usize, id: &str) -> EndpointResponse {
         let at_once = |reply| ServerDecision { respond_at: Some(now), reply, takes_effect: false };
-        let tells = self.partners[self.endpoints[endpoint].partner].spec.sends_retry_after;
-        let silent = self.partners[self.endpoints[endpoint].partner].spec.hides_limit;
+        let sends_retry_after = self.partners[self.endpoints[endpoint].partner].spec.sends_retry_after;
+        let hides_limit = self.partners[self.endpoints[endpoint].partner].spec.hides_limit;
         let decision = if self.endpoints[endpoint].errors {
             at_once(Reply::Error)
         } else {
-            let taken = self.limit(endpoint).map_or(Ok(()), |(limit, _)| limit.try_acquire(now));
-            match taken {
-                Err(wait) => at_once(Reply::Rejected(tells.then_some(wait))),
+            let acquired = self.limit(endpoint).map_or(Ok(()), |(limit, _)| limit.try_acquire(now));
+            match acquired {
+                Err(wait) => at_once(Reply::Rejected(sends_retry_after.then_some(wait))),
                 Ok(()) => self.endpoints[endpoint].model.handle_request(now, id),
             }
         };
-        let advertised_limit = self.limit(endpoint).and_then(|(limit, place)| limit.advertised(now, place));
+        let advertised_limit =
+            self.limit(endpoint).and_then(|(limit, position)| limit.advertised(now, position));
         if decision.respond_at.is_some_and(|at| at > now) {
             self.endpoints[endpoint].in_flight += 1;
         }
         EndpointResponse {
             decision,
-            advertised_limit: advertised_limit.filter(|_| !silent),
+            advertised_limit: advertised_limit.filter(|_| !hides_limit),
             load: self.load_report(now, endpoint),
         }
     }
 
-    /// Records that the response of a call in service has left.
+    /// Records that the response of a request in service has left the endpoint.
     pub fn on_response_sent(&mut self, endpoint: usize) {
-        let at = &mut self.endpoints[endpoint];
-        at.in_flight = at.in_flight.saturating_sub(1);
-        at.served += 1;
+        let state = &mut self.endpoints[endpoint];
+        state.in_flight = state.in_flight.saturating_sub(1);
+        state.served += 1;
     }
 
     /// Begins or ends a fault of an endpoint.
     pub fn set_fault(&mut self, now: Duration, endpoint: usize, fault: EndpointFault, begins: bool) {
-        let at = &mut self.endpoints[endpoint];
+        let state = &mut self.endpoints[endpoint];
         match (fault, begins) {
-            (EndpointFault::Errors, begins) => at.errors = begins,
-            (EndpointFault::Silent, true) => at.model.begin_fault(Fault::Silent, Duration::MAX),
-            (EndpointFault::Slow, true) => at.model.begin_fault(Fault::Slow(3.0), Duration::MAX),
-            (_, false) => at.model.end_fault(now),
+            (EndpointFault::Errors, begins) => state.errors = begins,
+            (EndpointFault::Silent, true) => state.model.begin_fault(Fault::Silent, Duration::MAX),
+            (EndpointFault::Slow, true) => state.model.begin_fault(Fault::Slow(3.0), Duration::MAX),
+            (_, false) => state.model.end_fault(now),
         }
     }
 }
--- a/crates/simulator/tests/load_balance.rs
+++ b/crates/simulator/tests/load_balance.rs
@@ -1,4 +1,5 @@
-//! Load balance scenarios: deterministic runs, invariants, and differences that the metrics show.
+//! Runs the built-in load balance scenarios: runs are deterministic, keep the invariants, and policies differ in the
+//! metrics. Invalid scenarios are rejected.
 
 use cloverstile_load_metrics::{measure, LoadMetrics};
 use cloverstile_simulator::{
@@ -8,11 +9,12 @@
 use std::time::Duration;
 
 fn scenario(name: &str, instances: usize) -> LoadBalanceScenario {
-    let (_, text) = LOAD_BALANCE_SCENARIOS.iter().find(|(known, _)| *known == name).expect("it comes along");
-    read_load_balance_scenario(text).expect("it is right").scaled(instances)
+    let (_, text) =
+        LOAD_BALANCE_SCENARIOS.iter().find(|(known, _)| *known == name).expect("a built-in scenario");
+    read_load_balance_scenario(text).expect("a valid scenario").scaled(instances)
 }
 
-fn figures(scenario: &LoadBalanceScenario, run: &LoadBalanceRun) -> LoadMetrics {
+fn load_metrics(scenario: &LoadBalanceScenario, run: &LoadBalanceRun) -> LoadMetrics {
     measure(&run.record, Duration::from_secs_f64(scenario.balance_window), 1)
 }
 
@@ -53,23 +55,28 @@
 }
 
 #[test]
-fn least_in_flight_with_first_of_equals_shows_a_thundering_herd() {
+fn least_in_flight_with_ties_to_the_first_endpoint_has_twice_the_peak_load_of_random() {
     let scenario = scenario("calm", 100);
-    let peak = |who| figures(&scenario, &simulate_load_balance(&scenario, who, 1)).observed.peak_over_mean;
-    let herd = peak(ClientPolicy::Baseline(EndpointSelection::LeastInFlight, Limiter::None));
-    let chance = peak(ClientPolicy::Baseline(EndpointSelection::Random, Limiter::None));
-    assert!(herd > 2.0 * chance, "{herd} against {chance}");
+    let peak = |policy| {
+        load_metrics(&scenario, &simulate_load_balance(&scenario, policy, 1)).observed.peak_over_mean
+    };
+    let least_in_flight = peak(ClientPolicy::Baseline(EndpointSelection::LeastInFlight, Limiter::None));
+    let random = peak(ClientPolicy::Baseline(EndpointSelection::Random, Limiter::None));
+    assert!(
+        least_in_flight > 2.0 * random,
+        "peak over mean: least in flight {least_in_flight}, random {random}"
+    );
 }
 
 #[test]
 fn invalid_scenarios_are_rejected_with_block_and_reason() {
     let (_, calm) = LOAD_BALANCE_SCENARIOS[0];
-    let wrong = |from: &str, to: &str| match read_load_balance_scenario(&calm.replacen(from, to, 1)) {
-        Ok(_) => panic!("{from} -> {to} was taken"),
+    let error_after = |from: &str, to: &str| match read_load_balance_scenario(&calm.replacen(from, to, 1)) {
+        Ok(_) => panic!("{from} -> {to} was accepted"),
         Err(error) => error.to_string(),
     };
-    assert!(wrong("limit         = 95", "limit = -1").contains("bank"));
-    assert!(wrong("effect   = \"unsafe\"", "effect = \"odd\"").contains("salary-payment"));
-    assert!(wrong("rate      = 600", "rate = 0").contains("rate"));
-    assert!(wrong("skew", "screw").contains("screw"));
+    assert!(error_after("limit         = 95", "limit = -1").contains("bank"));
+    assert!(error_after("effect   = \"unsafe\"", "effect = \"odd\"").contains("salary-payment"));
+    assert!(error_after("rate      = 600", "rate = 0").contains("rate"));
+    assert!(error_after("skew", "screw").contains("screw"));
 }
