--- a/crates/simulator/scenarios/many.hcl
+++ b/crates/simulator/scenarios/many.hcl
@@ -1,4 +1,5 @@
-# 200 couriers, 250 banks of two sites, 1,000 endpoints. A zone is lost: the preferred sites of fifty banks at once.
+# 200 gateway instances, 250 banks with two sites each, 1,000 endpoints. A zone outage takes down the preferred sites
+# of 50 banks at once.
 couriers = 200
 seconds  = 30
 rate     = 3000
--- a/crates/simulator/scenarios/surge.hcl
+++ b/crates/simulator/scenarios/surge.hcl
@@ -1,4 +1,4 @@
-# A bank's preferred site is lost, and comes back cold in the middle of a payday surge.
+# A bank's preferred site goes down and recovers, with a warm-up, during a payday burst.
 couriers = 8
 seconds  = 40
 rate     = 400
--- a/crates/simulator/src/failover/record.rs
+++ b/crates/simulator/src/failover/record.rs
@@ -1,109 +1,109 @@
-//! The record of a failover run: messages, totals by second, recovery windows and violations.
+//! Record of a failover run: messages, totals per second, recovery windows and violations.
 
 use cloverstile_engine::FinalOutcome;
 use std::time::Duration;
 
-/// A message, from its submission to its final outcome. Times count from the beginning of the run.
+/// A message from its submission to its final outcome. Times count from the start of the run.
 #[derive(Clone, Debug)]
 pub struct MessageHistory {
-    /// Place of its class in the scenario.
+    /// Index of its class in the scenario's classes, which are ordered by name.
     pub class: u8,
-    /// Its destination.
+    /// Index of its destination; each copy of a destination block counts.
     pub destination: u32,
-    /// The gateway instance that holds it, or held it last.
+    /// Index of the gateway instance it is submitted to, also after a restart of that instance.
     pub instance: u32,
-    /// Its order key and its place under it, for classes in order.
+    /// Order key and position in the key's sequence, from 1; `None` if its class is not ordered.
     pub key: Option<(u64, u32)>,
-    /// Time of its submission.
+    /// Time of its first submission.
     pub submitted_at: Duration,
-    /// Time at which it expires.
+    /// Time at which the message expires.
     pub deadline: Duration,
-    /// The tier that it first reached.
+    /// Tier that its first request reached.
     pub first_tier: Option<usize>,
-    /// When it first reached a tier behind the preferred one.
+    /// Time at which it first reached a tier other than the preferred one.
     pub spilled_at: Option<Duration>,
-    /// Times it took effect.
+    /// Number of times it took effect.
     pub effects: u32,
-    /// When it last did, for windows of repeats.
+    /// Time of its last effect, from which the retry window counts.
     pub last_effect_at: Option<Duration>,
-    /// Its final outcome and the time of it.
+    /// First final outcome and its time; `None` until there is one.
     pub outcome: Option<(FinalOutcome, Duration)>,
-    /// Final outcomes beyond the first.
+    /// Number of final outcomes after the first.
     pub extra_outcomes: u32,
 }
 
-/// A second of a run.
+/// Totals of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
-    /// Messages submitted.
+    /// Messages submitted for the first time.
     pub submitted: u32,
-    /// Worth of those if each were delivered on time.
+    /// Value of these messages if all were delivered within their latency objectives.
     pub offered_value: f64,
-    /// Messages delivered.
+    /// Messages completed as delivered.
     pub delivered: u32,
-    /// Worth of those by their age at delivery.
+    /// Value of the delivered messages at their age on delivery.
     pub delivered_value: f64,
-    /// Messages that ended otherwise.
+    /// Messages completed as rejected, failed or cancelled.
     pub undelivered: u32,
-    /// Messages submitted for destinations of several tiers.
+    /// Messages submitted for destinations with more than one tier.
     pub multi_tier: u32,
-    /// Messages that first reached a tier behind the preferred one.
+    /// Messages that reached a tier other than the preferred one for the first time.
     pub spilled: u32,
-    /// Requests that reached sites, rejected ones included.
+    /// Requests that arrived at sites, including rejected ones.
     pub requests: u32,
 }
 
-/// A window of 100 ms of a site after its recovery.
+/// Load of a site in a 100 ms window after it recovered from an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryWindow {
-    /// The site.
+    /// Index of the destination that the site belongs to.
     pub destination: u32,
-    /// Number of the site's recovery, from 1.
+    /// Number of the recovery, counted from 1 for each site.
     pub recovery: u32,
-    /// Beginning of the window, since the beginning of the run.
+    /// Start of the window, measured from the start of the run.
     pub start: Duration,
-    /// Beginning of the window, since the recovery.
+    /// Start of the window, measured from the recovery.
     pub since_recovery: Duration,
-    /// Requests that reached it.
+    /// Requests that arrived at the site in the window.
     pub received: u32,
-    /// Requests that it can serve in that time while it warms up.
+    /// Requests that the site can serve in the window at its capacity while warming up.
     pub capacity: f64,
-    /// Requests that it survives in that time: the rules' multiple of its capacity.
+    /// Requests in the window above which the site is overloaded: the rules' multiple of `capacity`.
     pub collapse_bound: f64,
 }
 
-/// A submission: which message, for which destination and to which gateway instance.
+/// A submission of a message to a gateway instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Submission {
-    /// The gateway instance.
+    /// Index of the gateway instance.
     pub instance: u32,
-    /// The destination.
+    /// Index of the destination.
     pub destination: u32,
-    /// The message.
+    /// Index of the message in [`FailoverRun::messages`].
     pub message: u32,
 }
 
-/// Violations of the invariants; all zero on a correct run.
+/// Number of violations of each invariant; all are zero in a correct run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailoverViolations {
-    /// Messages without a final answer, or with several.
+    /// Messages with no final outcome, plus messages with more than one.
     pub missing_or_extra_outcomes: u64,
-    /// ... with one that came after the deadline and its slack, or that is not true.
+    /// Messages whose final outcome came after the deadline and its grace period, or contradicts their effects.
     pub late_or_wrong_outcomes: u64,
-    /// ... that took effect twice.
+    /// Effects beyond the first of a message whose class is not `safe`.
     pub repeated_effects: u64,
-    /// ... that took effect after a later one of their key.
+    /// Messages that took effect after a later message of their order key.
     pub out_of_order: u64,
-    /// Requests to endpoints listed as draining, after the grace period.
+    /// Requests that reached an endpoint after the grace period that starts when it is listed as draining.
     pub sends_after_drain: u64,
-    /// Sites that collapsed under overload.
+    /// Sites that collapsed under overload while warming up.
     pub collapsed_sites: u64,
-    /// Requests to a site before the end of the `Retry-After` that it had sent to this instance.
+    /// Requests sent to a site before the end of the `Retry-After` that the instance had received from it.
     pub early_retries: u64,
 }
 
 impl FailoverViolations {
-    /// Violations of all kinds together.
+    /// Sum of the violations of all kinds.
     pub fn total(&self) -> u64 {
         self.missing_or_extra_outcomes
             + self.late_or_wrong_outcomes
@@ -115,21 +115,21 @@
     }
 }
 
-/// A whole run.
+/// Complete record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverRun {
-    /// All messages, in the order submitted.
+    /// All messages, in the order of submission.
     pub messages: Vec<MessageHistory>,
-    /// All hand-ins; a message of a lost instance comes again.
+    /// All submissions; clients of a lost instance resubmit its unfinished messages.
     pub submissions: Vec<Submission>,
-    /// By second.
+    /// Totals per second, indexed by the seconds since the start of the run.
     pub seconds: Vec<SecondTotals>,
-    /// Windows of 100 ms at recovering sites.
+    /// Load of recovering sites in 100 ms windows.
     pub windows: Vec<RecoveryWindow>,
-    /// Violations of the invariants.
+    /// Violations found in the run.
     pub violations: FailoverViolations,
-    /// Requests that reached sites.
+    /// Requests that arrived at sites, including rejected ones.
     pub requests: u64,
-    /// How often an engine was asked for its next commands.
+    /// Number of calls of `Engine::advance`.
     pub advance_calls: u64,
 }
--- a/crates/simulator/src/failover/scenario.rs
+++ b/crates/simulator/src/failover/scenario.rs
@@ -1,5 +1,5 @@
-//! Failover scenarios, read from HCL: instances, destinations, classes and faults. Times are in seconds, rates
-//! per second.
+//! Failover scenarios in HCL: gateway instances, destinations, classes and faults. Times are in seconds unless a
+//! name says otherwise, rates are per second.
 
 use crate::scenario::{
     default_one, duration_from_secs, longest_retry_window, ClassSpec, RuleSpec, ScenarioError,
@@ -8,33 +8,33 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A failover scenario.
+/// Contents of a failover scenario file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailoverScenario {
-    /// Gateways.
+    /// Number of gateway instances.
     #[serde(rename = "couriers")]
     pub instances: usize,
-    /// Messages are submitted for so long; the run lasts until the rest is completed.
+    /// Time during which messages are submitted; the run continues until the last deadline has passed.
     pub seconds: f64,
-    /// Messages a second from all clients together.
+    /// Mean number of messages per second of all clients together.
     pub rate: f64,
-    /// Skew of the load of instances: instance n gets a share in proportion to `1 / (n + 1) ^ skew`.
+    /// Skew of the load over the instances: instance n, from 0, gets a share proportional to `1 / (n + 1) ^ skew`.
     #[serde(default)]
     pub skew: f64,
-    /// Concurrency limit of an instance, in requests in flight.
-    #[serde(default = "call_slots", rename = "call_slots")]
+    /// Most requests in flight per instance.
+    #[serde(default = "default_concurrency_limit", rename = "call_slots")]
     pub concurrency_limit: usize,
-    /// Most messages that an instance queues.
-    #[serde(default = "most_held", rename = "most_held")]
+    /// Most messages in the queue of an instance.
+    #[serde(default = "default_max_queued", rename = "most_held")]
     pub max_queued: usize,
-    /// One-way network delay: its least value and the mean of its random part, in milliseconds.
-    #[serde(default = "network_delay_ms", rename = "way_ms")]
+    /// One-way network delay in milliseconds: minimum, and mean of the exponential part added to it.
+    #[serde(default = "default_network_delay_ms", rename = "way_ms")]
     pub network_delay_ms: [f64; 2],
-    /// Class blocks, by name.
+    /// Message classes, by name.
     #[serde(rename = "class")]
     pub classes: BTreeMap<String, ClassSpec>,
-    /// Destination blocks, by name.
+    /// Destinations, by name.
     #[serde(rename = "bank")]
     pub destinations: BTreeMap<String, DestinationSpec>,
     /// Faults, by a descriptive name.
@@ -46,155 +46,155 @@
     pub rules: RuleSpec,
 }
 
-fn call_slots() -> usize {
+fn default_concurrency_limit() -> usize {
     32
 }
 
-fn most_held() -> usize {
+fn default_max_queued() -> usize {
     4000
 }
 
-fn network_delay_ms() -> [f64; 2] {
+fn default_network_delay_ms() -> [f64; 2] {
     [0.5, 0.5]
 }
 
-/// A destination, or several equal ones.
+/// Destination block of a scenario; stands for one or more identical destinations.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DestinationSpec {
-    /// Number of equal ones.
-    #[serde(default = "one_copy")]
+    /// Number of identical destinations.
+    #[serde(default = "default_count")]
     pub copies: usize,
-    /// Share of the messages, of all copies together.
+    /// Weight among all messages, for all copies together; the weights need not add up to 1.
     #[serde(default = "default_one")]
     pub share: f64,
-    /// Share of the messages for a lost tier that may spill.
+    /// Share of the messages for a tier that is down which may spill to the next tier, from 0 to 1.
     #[serde(default)]
     pub spill_share: f64,
-    /// Messages a second, from all instances together, that may spill.
+    /// Most messages per second of all instances together that may spill; `None` if only the share limits them.
     #[serde(default)]
     pub spill_rate: Option<f64>,
-    /// A tier counts as lost only after so long without an answer.
+    /// Minimum time without a response before a tier counts as down.
     #[serde(default = "default_one", rename = "lost_after")]
     pub down_after: f64,
-    /// From a lost tier's first answer until nothing spills any more.
-    #[serde(default = "ramp", rename = "ramp")]
+    /// Time from the first response of a tier that was down until its messages no longer spill.
+    #[serde(default = "default_recovery_ramp", rename = "ramp")]
     pub recovery_ramp: f64,
-    /// Its sites.
+    /// Sites by name, each in a tier of its own.
     #[serde(rename = "site")]
     pub sites: BTreeMap<String, SiteSpec>,
 }
 
-fn one_copy() -> usize {
+fn default_count() -> usize {
     1
 }
 
-fn ramp() -> f64 {
+fn default_recovery_ramp() -> f64 {
     10.0
 }
 
-/// A site of a destination.
+/// Site block of a destination.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteSpec {
-    /// Its tier in the destination's order of preference, from 0; two sites may not share one.
+    /// Tier in the destination's order of preference, from 0; unique within the destination.
     pub tier: usize,
-    /// Its zone, shared by all sites of that zone name; left out, the sites of this block, of all
-    /// copies of the destination, are in a zone of their own.
+    /// Zone name, shared by all sites that state the same one. `None` puts the sites of this block, in all copies of
+    /// the destination, into a zone of their own.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Number of its endpoints.
-    #[serde(default = "two")]
+    /// Number of endpoints of the site.
+    #[serde(default = "default_endpoints")]
     pub endpoints: usize,
-    /// Requests served concurrently.
+    /// Number of requests that the site serves concurrently.
     pub servers: usize,
-    /// Requests that may queue.
-    #[serde(default = "queue")]
+    /// Number of requests that may wait for a server.
+    #[serde(default = "default_queue")]
     pub queue: usize,
-    /// Service time: its least value and the mean of its random part, in milliseconds.
-    #[serde(default = "service")]
+    /// Service time in milliseconds: minimum, and mean of the exponential part added to it.
+    #[serde(default = "default_service_ms")]
     pub service_ms: [f64; 2],
-    /// Rate limit over all instances together, in requests per second.
+    /// Rate limit for all instances together, in requests per second; `None` for no limit.
     #[serde(default, rename = "limit")]
     pub rate_limit: Option<f64>,
-    /// Rejections carry a `Retry-After`.
+    /// Whether rejections carry `Retry-After`.
     #[serde(default, rename = "tells_wait")]
     pub sends_retry_after: bool,
 }
 
-fn two() -> usize {
+fn default_endpoints() -> usize {
     2
 }
 
-fn queue() -> usize {
+fn default_queue() -> usize {
     40
 }
 
-fn service() -> [f64; 2] {
+fn default_service_ms() -> [f64; 2] {
     [8.0, 12.0]
 }
 
-/// A fault.
+/// Fault block of a scenario.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailoverFaultSpec {
-    /// Beginning; delayed at random within `jitter`.
+    /// Start of the first occurrence, before the random delay of up to `jitter`.
     pub at: f64,
-    /// How long it lasts.
+    /// Duration of each occurrence.
     #[serde(default = "default_one", rename = "lasts")]
     pub duration: f64,
-    /// Most by which the beginning is delayed at random, in seconds.
+    /// Upper bound of the random delay, drawn once and added to the start of every occurrence.
     #[serde(default, rename = "sway")]
     pub jitter: f64,
-    /// Number of its occurrences.
-    #[serde(default = "once", rename = "times")]
+    /// Number of occurrences.
+    #[serde(default = "default_occurrences", rename = "times")]
     pub occurrences: u32,
-    /// Time from the beginning of one occurrence to that of the next.
+    /// Time from the start of one occurrence to the start of the next.
     #[serde(default, rename = "every")]
     pub interval: f64,
-    /// Destination block that it affects, all copies together. None: every destination that has the tier.
+    /// Name of the affected destination, in all its copies; `None` affects every destination that has the tier.
     #[serde(default)]
     #[serde(rename = "bank")]
     pub destination: Option<String>,
-    /// Tier affected.
+    /// Affected tier.
     #[serde(default)]
     pub tier: usize,
-    /// Number of the site's endpoints that `part` and `drain` affect.
-    #[serde(default = "one_copy")]
+    /// Number of endpoints of each site that `part` and `drain` affect.
+    #[serde(default = "default_count")]
     pub endpoints: usize,
-    /// Gateways that `restart` affects, from the first.
-    #[serde(default = "one_copy")]
+    /// Number of gateway instances that `restart` affects, starting with the first.
+    #[serde(default = "default_count")]
     #[serde(rename = "couriers")]
     pub instances: usize,
     /// A fault of a partner (`refuse`, `silent`, `reset`, `slow` ...), `part` (some endpoints refuse
     /// connections), `drain`, `restart` or `burst`.
     pub kind: String,
-    /// How much: a share, a factor, a rate or seconds.
+    /// Magnitude of the fault: a share, a factor, a rate or seconds, depending on `kind`.
     #[serde(default = "default_one", rename = "size")]
     pub magnitude: f64,
 }
 
-fn once() -> u32 {
+fn default_occurrences() -> u32 {
     1
 }
 
-/// Kind of a fault.
+/// Kind of a fault, see [`FailoverFaultSpec::kind`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailoverFault {
-    /// A fault of the whole site.
+    /// A fault of a whole site, as the partner model defines it.
     Site(Fault),
     /// Some endpoints refuse connections.
     PartialOutage,
     /// Some endpoints are listed as draining.
     Drain,
-    /// Some instances are lost and restart without their state.
+    /// Some instances crash and restart without their state.
     Restart,
-    /// Traffic is multiplied.
+    /// The submission rate is multiplied by the fault's magnitude.
     Burst,
 }
 
 impl FailoverFaultSpec {
-    /// Its kind; none if the kind is not known.
+    /// Parses `kind`; `None` if it is unknown.
     pub fn fault_kind(&self) -> Option<FailoverFault> {
         match self.kind.as_str() {
             "part" => Some(FailoverFault::PartialOutage),
@@ -206,19 +206,19 @@
     }
 }
 
-/// Reads and validates a failover scenario.
+/// Parses and validates a failover scenario.
 ///
 /// # Errors
-/// If the text is not a scenario, or a block has a missing reference or a value that is not allowed.
+/// If the text cannot be parsed, or a block refers to a missing block or has an invalid value.
 pub fn read_failover_scenario(text: &str) -> Result<FailoverScenario, ScenarioError> {
     let scenario: FailoverScenario =
         hcl::from_str(text).map_err(|error| ScenarioError::Read(error.to_string()))?;
-    scenario.check()?;
+    scenario.validate()?;
     Ok(scenario)
 }
 
 impl FailoverScenario {
-    fn check(&self) -> Result<(), ScenarioError> {
+    fn validate(&self) -> Result<(), ScenarioError> {
         let positive = |name: &str, ok: bool| match ok {
             true => Ok(()),
             false => Err(ScenarioError::Read(format!("{name} must be above zero"))),
@@ -229,52 +229,57 @@
         positive("the number of classes", !self.classes.is_empty())?;
         positive("the number of banks", !self.destinations.is_empty())?;
         for (name, class) in &self.classes {
-            let wrong = |what: &str| ScenarioError::Block {
+            let invalid = |reason: &str| ScenarioError::Block {
                 block: "class",
                 name: name.clone(),
-                what: what.to_owned(),
+                reason: reason.to_owned(),
             };
             if !["safe", "keyed", "unsafe"].contains(&class.effect.as_str()) {
-                return Err(wrong("effect may be safe, keyed or unsafe"));
+                return Err(invalid("effect must be safe, keyed or unsafe"));
             }
             if !["all", "zone"].contains(&class.group.as_str()) {
-                return Err(wrong("group may be all or zone"));
+                return Err(invalid("group must be all or zone"));
             }
         }
-        for (name, bank) in &self.destinations {
-            let wrong = |what: String| ScenarioError::Block { block: "bank", name: name.clone(), what };
-            let mut tiers: Vec<usize> = bank.sites.values().map(|site| site.tier).collect();
+        for (name, destination) in &self.destinations {
+            let invalid = |reason: String| ScenarioError::Block { block: "bank", name: name.clone(), reason };
+            let mut tiers: Vec<usize> = destination.sites.values().map(|site| site.tier).collect();
             tiers.sort_unstable();
             if tiers.is_empty() || tiers != (0..tiers.len()).collect::<Vec<_>>() {
-                return Err(wrong("its sites' tiers must be 0, 1, 2 ... each once".into()));
+                return Err(invalid(
+                    "the tiers of its sites must be 0, 1, 2, ... without gaps or duplicates".into(),
+                ));
             }
-            if !(0.0..=1.0).contains(&bank.spill_share) {
-                return Err(wrong("spill_share must be from 0 to 1".into()));
+            if !(0.0..=1.0).contains(&destination.spill_share) {
+                return Err(invalid("spill_share must be from 0 to 1".into()));
             }
         }
         for (name, fault) in &self.faults {
-            let wrong = |what: String| ScenarioError::Block { block: "trouble", name: name.clone(), what };
+            let invalid =
+                |reason: String| ScenarioError::Block { block: "trouble", name: name.clone(), reason };
             if fault.fault_kind().is_none() {
-                return Err(wrong(format!("the kind '{}' is not known", fault.kind)));
+                return Err(invalid(format!("the kind '{}' is not known", fault.kind)));
             }
-            if let Some(bank) =
-                fault.destination.as_ref().filter(|bank| !self.destinations.contains_key(*bank))
+            if let Some(name) =
+                fault.destination.as_ref().filter(|name| !self.destinations.contains_key(*name))
             {
-                return Err(wrong(format!("there is no bank '{bank}'")));
+                return Err(invalid(format!("there is no bank '{name}'")));
             }
         }
         Ok(())
     }
 
-    /// Number of endpoints of all destinations together.
+    /// Total number of endpoints of all destinations.
     pub fn endpoint_count(&self) -> usize {
         self.destinations
             .values()
-            .map(|b| b.copies * b.sites.values().map(|s| s.endpoints).sum::<usize>())
+            .map(|destination| {
+                destination.copies * destination.sites.values().map(|site| site.endpoints).sum::<usize>()
+            })
             .sum()
     }
 
-    /// The server profile of a site.
+    /// Server profile of a site, with the retry window and the warm-up rules of the scenario.
     pub fn server_profile(&self, site: &SiteSpec) -> ServerProfile {
         ServerProfile {
             servers: site.servers,
--- a/crates/simulator/src/failover/simulation/faults.rs
+++ b/crates/simulator/src/failover/simulation/faults.rs
@@ -1,19 +1,19 @@
-//! Faults of sites, endpoints and gateways: their beginning, their end and the restart of lost gateways.
+//! Start and end of faults of sites, endpoints and gateway instances, and the restart of crashed instances.
 
-use super::{time, Event, ScheduledFault, Simulation, RESTARTED_AFTER};
+use super::{time, Event, ScheduledFault, Simulation, RESTART_DELAY};
 use crate::failover::scenario::FailoverFault;
 use cloverstile::EndpointId;
 use rand::Rng;
 use std::time::Duration;
 
 impl Simulation<'_> {
-    pub(super) fn apply_fault(&mut self, place: usize, begins: bool) {
-        let ScheduledFault { spec, act, sites } = &self.scheduled_faults[place];
-        let (spec, act, sites) = (spec.clone(), *act, sites.clone());
-        match act {
+    pub(super) fn apply_fault(&mut self, index: usize, begins: bool) {
+        let ScheduledFault { spec, kind, sites } = &self.scheduled_faults[index];
+        let (spec, kind, sites) = (spec.clone(), *kind, sites.clone());
+        match kind {
             FailoverFault::Site(fault) => {
                 for site in sites {
-                    self.check(site, !begins || !fault.is_outage());
+                    self.set_health(site, !begins || !fault.is_outage());
                     let site = &mut self.sites[site as usize];
                     if begins {
                         let until = self.now + Duration::from_secs_f64(spec.duration);
@@ -22,8 +22,8 @@
                         site.model.end_fault(self.now);
                         if fault.is_outage() {
                             site.close_windows(self.now, &mut self.run.windows);
-                            site.returned = Some(self.now);
-                            site.returns += 1;
+                            site.recovered_at = Some(self.now);
+                            site.recoveries += 1;
                         }
                     }
                 }
@@ -31,19 +31,19 @@
             FailoverFault::PartialOutage | FailoverFault::Drain => {
                 for site in sites {
                     let of_site =
-                        self.addresses.iter_mut().enumerate().filter(|(_, address)| address.site == site);
-                    for (id, address) in of_site.take(spec.endpoints) {
-                        match act {
+                        self.endpoints.iter_mut().enumerate().filter(|(_, endpoint)| endpoint.site == site);
+                    for (id, endpoint) in of_site.take(spec.endpoints) {
+                        match kind {
                             FailoverFault::PartialOutage => {
-                                address.down = begins;
-                                self.checks.record(time(self.now), EndpointId(id as u32), !begins);
+                                endpoint.down = begins;
+                                self.health_checks.record(time(self.now), EndpointId(id as u32), !begins);
                             }
-                            _ => address.draining = begins.then_some(self.now),
+                            _ => endpoint.draining_since = begins.then_some(self.now),
                         }
                     }
                 }
-                if act == FailoverFault::Drain {
-                    let list = self.list();
+                if kind == FailoverFault::Drain {
+                    let list = self.endpoint_list();
                     for instance in 0..self.gateways.len() {
                         self.gateways[instance].engine.update_endpoints(time(self.now), list.clone());
                         self.advance(instance as u32);
@@ -53,35 +53,35 @@
             FailoverFault::Restart if begins => {
                 for instance in 0..spec.instances.min(self.gateways.len()) {
                     let gateway = &mut self.gateways[instance];
-                    (gateway.down, gateway.wake) = (true, None);
+                    (gateway.down, gateway.timeout_at) = (true, None);
                     gateway.epoch += 1;
-                    gateway.waits.clear();
-                    let at = self.now + RESTARTED_AFTER;
-                    self.schedule(at, Event::Restarted { instance: instance as u32 });
+                    gateway.retry_after_until.clear();
+                    let at = self.now + RESTART_DELAY;
+                    self.schedule(at, Event::Restart { instance: instance as u32 });
                 }
             }
             FailoverFault::Restart => {}
-            FailoverFault::Burst => self.burst = if begins { spec.magnitude } else { 1.0 },
+            FailoverFault::Burst => self.burst_factor = if begins { spec.magnitude } else { 1.0 },
         }
     }
 
-    /// Sets what health checks of a site's addresses find from now on.
-    fn check(&self, site: u32, up: bool) {
-        for (id, _) in self.addresses.iter().enumerate().filter(|(_, address)| address.site == site) {
-            self.checks.record(time(self.now), EndpointId(id as u32), up);
+    /// Sets the result of health checks of all endpoints of a site from now on.
+    fn set_health(&self, site: u32, up: bool) {
+        for (id, _) in self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.site == site) {
+            self.health_checks.record(time(self.now), EndpointId(id as u32), up);
         }
     }
 
-    /// Restarts a lost instance without its state; its clients resubmit the messages that it had not completed.
-    pub(super) fn restarted(&mut self, instance: u32) {
+    /// Restarts a crashed instance without its state; its clients resubmit the messages that it had not completed.
+    pub(super) fn restart(&mut self, instance: u32) {
         let seed = self.rng.random();
-        let engine = self.engine(instance as usize, seed);
+        let engine = self.new_engine(instance as usize, seed);
         let gateway = &mut self.gateways[instance as usize];
         (gateway.engine, gateway.down) = (engine, false);
-        let mut held: Vec<u32> = std::mem::take(&mut gateway.held).into_values().collect();
-        held.retain(|number| self.run.messages[*number as usize].outcome.is_none());
-        held.sort_unstable();
-        for number in held {
+        let mut unfinished: Vec<u32> = std::mem::take(&mut gateway.held_messages).into_values().collect();
+        unfinished.retain(|number| self.run.messages[*number as usize].outcome.is_none());
+        unfinished.sort_unstable();
+        for number in unfinished {
             self.submit(instance, number, true);
         }
         self.advance(instance);
--- a/crates/simulator/src/failover/simulation/requests.rs
+++ b/crates/simulator/src/failover/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at sites, their effects and their responses.
+//! Requests that arrive at sites, their effects and their responses.
 
 use super::{time, Event, Simulation, SiteResponse};
 use cloverstile::{Effect, EndpointId, Group, RateLimitStatus};
@@ -7,64 +7,74 @@
 use std::time::Duration;
 
 impl Simulation<'_> {
-    pub(super) fn reach(&mut self, instance: u32, epoch: u32, endpoint: EndpointId, attempt: Attempt) {
-        let (now, address) = (self.now, &self.addresses[endpoint.0 as usize]);
-        let (id, down) = (address.site, address.down);
+    pub(super) fn on_request_arrival(
+        &mut self,
+        instance: u32,
+        epoch: u32,
+        endpoint: EndpointId,
+        attempt: Attempt,
+    ) {
+        let (now, target) = (self.now, &self.endpoints[endpoint.0 as usize]);
+        let (id, down) = (target.site, target.down);
         let grace = Duration::from_secs_f64(self.scenario.rules.drain_grace);
-        if address.draining.is_some_and(|since| now > since + grace) {
+        if target.draining_since.is_some_and(|since| now > since + grace) {
             self.run.violations.sends_after_drain += 1;
         }
         let gateway = &self.gateways[instance as usize];
-        let number = gateway.held.get(&attempt.message).copied().filter(|_| gateway.epoch == epoch);
+        let number = gateway.held_messages.get(&attempt.message).copied().filter(|_| gateway.epoch == epoch);
         self.run.requests += 1;
-        self.second().requests += 1;
+        self.current_second().requests += 1;
         let site = &mut self.sites[id as usize];
-        site.count(now);
+        site.count_request(now);
         if down || matches!(site.model.fault(), Some(cloverstile_fakes::model::Fault::RefuseConnections)) {
             let reply = SiteResponse::NoConnection;
-            return self.reply(now, Event::Response { instance, epoch, attempt, site: id, reply });
+            return self.schedule_response(
+                now,
+                Event::ResponseArrival { instance, epoch, attempt, site: id, reply },
+            );
         }
-        // A message that its instance has forgotten, or a lost instance's: the site sees it all the same.
+        // The instance has evicted the message or has restarted since: the request counts towards the site's load, but
+        // has no effect.
         let Some(number) = number else { return };
-        let verdict = site.model.handle_request(now, &number.to_string());
-        let left = site.model.allowance().map(|(left, _)| (left * 1e6) as u32);
+        let decision = site.model.handle_request(now, &number.to_string());
+        let remaining = site.model.allowance().map(|(remaining, _)| (remaining * 1e6) as u32);
         let tier = site.tier;
-        self.reached(number, tier);
-        if verdict.takes_effect {
+        self.record_tier(number, tier);
+        if decision.takes_effect {
             self.record_effect(number, id);
         }
-        let reply = match verdict.reply {
-            Reply::Processed => SiteResponse::Processed(left),
+        let reply = match decision.reply {
+            Reply::Processed => SiteResponse::Processed(remaining),
             Reply::Error => SiteResponse::Error,
-            Reply::Rejected(wait) => SiteResponse::Rejected(wait, left),
+            Reply::Rejected(wait) => SiteResponse::Rejected(wait, remaining),
             Reply::Truncated | Reply::Reset => SiteResponse::Reset,
         };
-        if let Some(at) = verdict.respond_at {
-            self.reply(at, Event::Response { instance, epoch, attempt, site: id, reply });
+        if let Some(at) = decision.respond_at {
+            self.schedule_response(at, Event::ResponseArrival { instance, epoch, attempt, site: id, reply });
         }
     }
 
-    fn reply(&mut self, at: Duration, event: Event) {
+    fn schedule_response(&mut self, at: Duration, event: Event) {
         let at = at + self.network_delay();
         self.schedule(at, event);
     }
 
-    fn reached(&mut self, number: u32, tier: usize) {
+    fn record_tier(&mut self, number: u32, tier: usize) {
         let message = &mut self.run.messages[number as usize];
         message.first_tier.get_or_insert(tier);
         if tier > 0 && message.spilled_at.is_none() {
             message.spilled_at = Some(self.now);
-            self.second().spilled += 1;
+            self.current_second().spilled += 1;
         }
     }
 
     fn record_effect(&mut self, number: u32, site: u32) {
         let message = &mut self.run.messages[number as usize];
         let class = &self.settings.classes[usize::from(message.class)];
-        // Sites of one group share their idempotency keys: a repeat is dropped at whichever site it arrives.
+        // With group `all`, the sites share idempotency keys and drop a repeat at whichever site it arrives.
         let window = self.sites[site as usize].model.profile().repeat_window;
-        let known = message.last_effect_at.is_some_and(|at| self.now < at + window);
-        if class.effect == Effect::Keyed && class.group == Group::All && known {
+        let deduplicated = message.last_effect_at.is_some_and(|at| self.now < at + window);
+        if class.effect == Effect::Keyed && class.group == Group::All && deduplicated {
             return;
         }
         message.effects += 1;
@@ -72,16 +82,16 @@
         if message.effects > 1 && class.effect != Effect::Safe {
             self.run.violations.repeated_effects += 1;
         }
-        if let (Some((key, place)), 1) = (message.key, message.effects) {
-            let (_, last) = self.keys.entry(key).or_default();
-            if place < *last {
+        if let (Some((key, position)), 1) = (message.key, message.effects) {
+            let (_, last) = self.key_positions.entry(key).or_default();
+            if position < *last {
                 self.run.violations.out_of_order += 1;
             }
-            *last = place.max(*last);
+            *last = position.max(*last);
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_response_arrival(
         &mut self,
         instance: u32,
         epoch: u32,
@@ -93,11 +103,13 @@
             return;
         }
         let limit = self.sites[site as usize].model.profile().limit.unwrap_or(0.0);
-        let told = |left: u32| RateLimitStatus { remaining: f64::from(left) / 1e6, limit };
-        let (reported, allowance) = match reply {
-            SiteResponse::Processed(left) => (TransportOutcome::Processed, left.map(told)),
+        let status = |remaining: u32| RateLimitStatus { remaining: f64::from(remaining) / 1e6, limit };
+        let (outcome, rate_limit) = match reply {
+            SiteResponse::Processed(remaining) => (TransportOutcome::Processed, remaining.map(status)),
             SiteResponse::Error => (TransportOutcome::Error, None),
-            SiteResponse::Rejected(wait, left) => (TransportOutcome::Rejected(wait), left.map(told)),
+            SiteResponse::Rejected(wait, remaining) => {
+                (TransportOutcome::Rejected(wait), remaining.map(status))
+            }
             SiteResponse::Reset => (TransportOutcome::Reset, None),
             SiteResponse::NoConnection => (TransportOutcome::ConnectFailed, None),
         };
@@ -105,11 +117,11 @@
         if gateway.down || gateway.epoch != epoch {
             return;
         }
-        if let TransportOutcome::Rejected(Some(wait)) = reported {
-            let until = gateway.waits.entry(site).or_default();
+        if let TransportOutcome::Rejected(Some(wait)) = outcome {
+            let until = gateway.retry_after_until.entry(site).or_default();
             *until = (*until).max(self.now + wait);
         }
-        gateway.engine.on_attempt_completed(time(self.now), attempt, reported, allowance);
+        gateway.engine.on_attempt_completed(time(self.now), attempt, outcome, rate_limit);
         self.advance(instance);
     }
 }
--- a/crates/simulator/src/failover/spillover_baseline.rs
+++ b/crates/simulator/src/failover/spillover_baseline.rs
@@ -1,4 +1,4 @@
-//! Other ways to spread messages over tiers, to compare the planner with. Not for service.
+//! Spillover policies to compare the failover planner with; for simulation only.
 
 use cloverstile::{AttemptOutcome, DestinationId, EndpointId, Time};
 use cloverstile_failover::{FailoverPolicy, RequestResult, TierConfig, TierStatus};
@@ -6,21 +6,21 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The policy that assigns messages to tiers.
+/// Policy that assigns messages to the tiers of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SpilloverPolicy {
-    /// The planner in service, with the shares that the scenario states.
+    /// The gateway's planner, with the spill shares of the scenario.
     Planner,
-    /// All messages for a lost tier go to the next one, and all come back with its first answer.
+    /// All messages for a tier that is down go to the next one, and all return with its first response.
     SpillAll,
-    /// No message ever changes its tier.
+    /// Messages never leave the preferred tier.
     NoSpillover,
-    /// Spill by the share of a tier's addresses that are healthy, as common proxies do it.
+    /// Spills by the share of a tier's endpoints that are healthy, as common proxies do; see [`HealthyShare`].
     HealthyShare,
 }
 
 impl SpilloverPolicy {
-    /// All of them, the one in service first.
+    /// All policies, the gateway's own first.
     pub const ALL: [SpilloverPolicy; 4] = [
         SpilloverPolicy::Planner,
         SpilloverPolicy::SpillAll,
@@ -28,7 +28,7 @@
         SpilloverPolicy::HealthyShare,
     ];
 
-    /// The name that command lines and files use.
+    /// Name of the policy in command lines and files.
     pub fn name(self) -> &'static str {
         match self {
             SpilloverPolicy::Planner => "planner",
@@ -38,71 +38,77 @@
         }
     }
 
-    /// The one of that name.
+    /// Returns the policy with this name, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<SpilloverPolicy> {
         SpilloverPolicy::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// A tier is healthy enough while this many times its healthy share reaches the whole.
+/// Overprovisioning factor: a tier gets all its messages while its healthy share times this factor is at least 1.
 const OVERPROVISIONING: f64 = 1.4;
-/// Failures in a row that put an address out.
-const FAILURES: u32 = 5;
+/// Consecutive request failures after which an endpoint is ejected.
+const CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Three health checks a second apart must fail to put an address out, and one must succeed to take it back.
-const CHECKS_FAIL: Duration = Duration::from_secs(3);
-const CHECK_SUCCEEDS: Duration = Duration::from_secs(1);
+/// Time for which an endpoint must be down to be ejected: three failed health checks, one per second.
+const FAILED_CHECKS_DELAY: Duration = Duration::from_secs(3);
+/// Time for which an endpoint must be up to be readmitted: one successful health check.
+const SUCCESSFUL_CHECK_DELAY: Duration = Duration::from_secs(1);
 
-/// Results of active health checks, as the simulation reports them: whether each address is up, and since when.
+/// Ground truth for active health checks, set by the simulation: whether each endpoint is up, and since when.
+///
+/// Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct HealthChecks(Arc<Mutex<BTreeMap<EndpointId, (bool, Time)>>>);
 
 impl HealthChecks {
-    /// Records that an address went down or came up.
+    /// Records that an endpoint went down or came up at `now`.
     pub fn record(&self, now: Time, endpoint: EndpointId, up: bool) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(endpoint, (up, now));
     }
 
-    fn of(&self, endpoint: EndpointId) -> Option<(bool, Time)> {
+    fn status(&self, endpoint: EndpointId) -> Option<(bool, Time)> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(&endpoint).copied()
     }
 }
 
 #[derive(Default)]
 struct Health {
+    /// Consecutive failures.
     failures: u32,
-    out: bool,
-    /// Answers again since then.
-    back: Option<Time>,
+    ejected: bool,
+    /// Time of the first successful response after an ejection.
+    recovered_at: Option<Time>,
 }
 
-struct Spread {
+struct TierSpread {
     tiers: TierConfig,
-    /// Addresses of each tier.
-    addresses: Vec<Vec<EndpointId>>,
+    /// Endpoints of each tier.
+    endpoints: Vec<Vec<EndpointId>>,
+    /// Accumulated fraction of a message to pass on to the next tier; at 1, a message is passed on.
     credit: f64,
 }
 
-/// Spill by healthy share: a tier gets `1.4 * healthy / all` of its messages, at most all; an address is out after
-/// five failures in a row or three failed health checks, back with its first answer or successful check, and regains
-/// its weight evenly over a slow start.
+/// Spillover by healthy share: a tier gets `1.4 * healthy / all` of its messages, at most all of them.
+///
+/// An endpoint is ejected after five consecutive failures or three failed health checks and readmitted with its first
+/// successful response or check; its weight then grows linearly over a slow start.
 pub struct HealthyShare {
     checks: HealthChecks,
     slow_start: Duration,
     health: BTreeMap<EndpointId, Health>,
-    destinations: BTreeMap<DestinationId, Spread>,
+    destinations: BTreeMap<DestinationId, TierSpread>,
 }
 
 impl HealthyShare {
-    /// For partners with the addresses of each of their tiers.
+    /// Creates the policy from the tier configuration of each destination and the endpoints of each of its tiers.
     pub fn new(
         checks: HealthChecks,
         slow_start: Duration,
         destinations: Vec<(TierConfig, Vec<Vec<EndpointId>>)>,
     ) -> Self {
-        let spread = |(tiers, addresses): (TierConfig, Vec<Vec<EndpointId>>)| {
-            let name = *tiers.destinations.first()?;
-            Some((name, Spread { tiers, addresses, credit: 0.0 }))
+        let spread = |(tiers, endpoints): (TierConfig, Vec<Vec<EndpointId>>)| {
+            let preferred = *tiers.destinations.first()?;
+            Some((preferred, TierSpread { tiers, endpoints, credit: 0.0 }))
         };
         HealthyShare {
             checks,
@@ -113,38 +119,38 @@
     }
 
     fn weight(&self, now: Time, endpoint: EndpointId) -> f64 {
-        let warming = |since: Time| {
-            let part = (now - since).as_secs_f64() / self.slow_start.as_secs_f64().max(0.001);
-            part.min(1.0)
+        let slow_start_share = |since: Time| {
+            let share = (now - since).as_secs_f64() / self.slow_start.as_secs_f64().max(0.001);
+            share.min(1.0)
         };
-        let by_checks = match self.checks.of(endpoint) {
-            Some((false, since)) if now - since >= CHECKS_FAIL => 0.0,
-            Some((true, since)) if now - since < CHECK_SUCCEEDS => 0.0,
-            Some((true, since)) => warming(since + CHECK_SUCCEEDS),
+        let by_checks = match self.checks.status(endpoint) {
+            Some((false, since)) if now - since >= FAILED_CHECKS_DELAY => 0.0,
+            Some((true, since)) if now - since < SUCCESSFUL_CHECK_DELAY => 0.0,
+            Some((true, since)) => slow_start_share(since + SUCCESSFUL_CHECK_DELAY),
             _ => 1.0,
         };
-        let by_calls = match self.health.get(&endpoint) {
-            Some(health) if health.out => 0.0,
-            Some(Health { back: Some(since), .. }) => warming(*since),
+        let by_requests = match self.health.get(&endpoint) {
+            Some(health) if health.ejected => 0.0,
+            Some(Health { recovered_at: Some(since), .. }) => slow_start_share(*since),
             _ => 1.0,
         };
-        by_checks.min(by_calls)
+        by_checks.min(by_requests)
     }
 }
 
 impl FailoverPolicy for HealthyShare {
-    fn select_tier(&mut self, now: Time, partner: DestinationId) -> DestinationId {
-        let Some(spread) = self.destinations.get(&partner) else { return partner };
-        let health = |addresses: &Vec<EndpointId>| {
-            let sum: f64 = addresses.iter().map(|endpoint| self.weight(now, *endpoint)).sum();
-            (OVERPROVISIONING * sum / addresses.len().max(1) as f64).min(1.0)
+    fn select_tier(&mut self, now: Time, destination: DestinationId) -> DestinationId {
+        let Some(spread) = self.destinations.get(&destination) else { return destination };
+        let health = |endpoints: &Vec<EndpointId>| {
+            let sum: f64 = endpoints.iter().map(|endpoint| self.weight(now, *endpoint)).sum();
+            (OVERPROVISIONING * sum / endpoints.len().max(1) as f64).min(1.0)
         };
-        let shares: Vec<f64> = spread.addresses.iter().map(health).collect();
-        let Some(spread) = self.destinations.get_mut(&partner) else { return partner };
-        // Each tier takes its share of the remaining messages; where all are unhealthy, the first takes all.
+        let shares: Vec<f64> = spread.endpoints.iter().map(health).collect();
+        let Some(spread) = self.destinations.get_mut(&destination) else { return destination };
+        // Each tier takes its share of the remaining messages; if no tier has a healthy endpoint, the first takes all.
         let last = spread.tiers.destinations.len() - 1;
         if shares.iter().sum::<f64>() <= 0.0 {
-            return partner;
+            return destination;
         }
         for (tier, share) in shares.iter().enumerate().take(last) {
             spread.credit += 1.0 - share;
@@ -156,19 +162,19 @@
         spread.tiers.destinations[last]
     }
 
-    fn on_request_completed(&mut self, now: Time, call: RequestResult) {
-        let health = self.health.entry(call.endpoint).or_default();
-        match call.outcome {
+    fn on_request_completed(&mut self, now: Time, result: RequestResult) {
+        let health = self.health.entry(result.endpoint).or_default();
+        match result.outcome {
             AttemptOutcome::Ok => {
                 health.failures = 0;
-                if std::mem::take(&mut health.out) {
-                    health.back = Some(now);
+                if std::mem::take(&mut health.ejected) {
+                    health.recovered_at = Some(now);
                 }
             }
             AttemptOutcome::Rejected(_) | AttemptOutcome::Unsent => {}
             _ => {
                 health.failures += 1;
-                health.out |= health.failures >= FAILURES;
+                health.ejected |= health.failures >= CONSECUTIVE_FAILURES;
             }
         }
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,8 @@
-//! Discrete-event simulations of gateway instances and destinations in one process, on virtual time: the engine,
-//! failover planner and delivery policy of the gateway against the partner model of the test doubles. Free of I/O,
-//! clock and ambient randomness; a scenario, a policy and a seed always give the same run.
+//! Discrete-event simulations of gateway instances and destinations in one process, on virtual time.
+//!
+//! The gateway's engine, failover planner and delivery policy run against the partner model of the test doubles. The
+//! crate does no I/O, reads no clock and takes all randomness from a seed: the same scenario, policy and seed always
+//! give the same run.
 #![forbid(unsafe_code)]
 
 mod event_queue;
--- a/crates/simulator/src/load_balance/scenario.rs
+++ b/crates/simulator/src/load_balance/scenario.rs
@@ -235,7 +235,7 @@
         let invalid = |block: &'static str, name: &str, what: &str| ScenarioError::Block {
             block,
             name: name.to_owned(),
-            what: what.to_owned(),
+            reason: what.to_owned(),
         };
         for (name, value) in [("seconds", self.seconds), ("rate", self.rate), ("window", self.balance_window)]
         {
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,57 +1,56 @@
-//! Parts of scenario files that both simulations share: errors, message classes and the rules of the platform.
-//! Times are
-//! in seconds, rates in a second.
+//! Parts of scenario files that both simulations share: errors, message classes and the platform's rules. Times are
+//! in seconds, rates per second.
 
 use cloverstile::{Class, Effect, Group, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time that a setting can state, in seconds; longer ones are cut.
+/// Upper bound of a time setting, in seconds; larger values are clamped.
 const MAX_SECONDS: f64 = 1e9;
-/// How soon gateways may expect news of the endpoint list.
+/// Interval within which gateways may expect updates of the endpoint list.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A scenario that cannot be simulated.
+/// Reason why a scenario cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not a scenario.
-    #[error("scenario: {0}; see docs/laboratory.md for what may stand there")]
+    /// The text cannot be parsed as a scenario, or a top-level value is invalid.
+    #[error("scenario: {0}; see docs/testbench.md for the scenario format")]
     Read(String),
-    /// A block refers to a missing block, or has a value that is not allowed.
-    #[error("scenario: {block} \"{name}\": {what}")]
+    /// A block refers to a missing block or has an invalid value.
+    #[error("scenario: {block} \"{name}\": {reason}")]
     Block {
-        /// Kind of block.
+        /// Block type as written in the file, such as `class`.
         block: &'static str,
-        /// Name of the block.
+        /// Label of the block.
         name: String,
-        /// What is wrong, and what is allowed.
-        what: String,
+        /// The invalid value or reference, with the allowed values where they are known.
+        reason: String,
     },
 }
 
-/// Parameters of the platform's rules; see [`Rules`]. Times are in seconds.
+/// Parameters of the platform's rules, see [`Rules`], and of recovering sites. Times are in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSpec {
-    /// Grace period after the deadline in which a response still counts.
+    /// Grace period after the deadline in which a final outcome still counts as on time.
     #[serde(rename = "answer_slack")]
     pub outcome_grace: f64,
-    /// No new request to a draining endpoint so long after it was listed as draining.
+    /// Time after an endpoint is listed as draining from which requests that reach it are violations.
     pub drain_grace: f64,
-    /// Cooldown of an order key after an attempt of unknown outcome.
+    /// Cooldown of an order key after an attempt with an unknown outcome.
     #[serde(rename = "order_settle")]
     pub key_cooldown: f64,
-    /// Share of its capacity with which a site recovers.
+    /// Share of its capacity that a site has right after an outage, from 0 to 1.
     #[serde(rename = "cold_from")]
     pub warm_up_capacity: f64,
-    /// Time until a recovering site is warmed up.
+    /// Time after an outage until a site has its full capacity again.
     #[serde(rename = "cold")]
     pub warm_up_time: f64,
-    /// Load that a site survives while it warms up, as a multiple of its capacity.
+    /// Load above which a warming-up site collapses, as a multiple of its current capacity.
     #[serde(rename = "tip_multiple")]
     pub overload_multiple: f64,
-    /// Time over which that load is measured.
+    /// Window over which that load is measured.
     #[serde(rename = "fall")]
     pub overload_window: f64,
 }
@@ -71,7 +70,7 @@
 }
 
 impl RuleSpec {
-    /// The rules as the gateways' settings state them.
+    /// Converts the parameters to the rules in the gateways' settings.
     pub(crate) fn rules(&self) -> Rules {
         Rules {
             outcome_grace: duration_from_secs(self.outcome_grace),
@@ -85,49 +84,49 @@
     }
 }
 
-/// A class of message.
+/// Class block of a scenario. Times are in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Share of the messages.
+    /// Weight of the class among all messages; the weights need not add up to 1.
     pub share: f64,
-    /// `safe`, `keyed` or `unsafe`.
+    /// Effect: `safe`, `keyed` or `unsafe`.
     pub effect: String,
-    /// `all` or `zone`.
-    #[serde(default = "all")]
+    /// Group whose endpoints share idempotency keys: `all` or `zone`.
+    #[serde(default = "default_group")]
     pub group: String,
-    /// Messages of an order key are delivered in order.
+    /// Whether messages of the same order key are delivered in order.
     #[serde(default, rename = "in_order")]
     pub ordered: bool,
-    /// Order keys of each destination, for ordered classes.
-    #[serde(default = "keys", rename = "keys")]
+    /// Number of order keys per destination, for ordered classes.
+    #[serde(default = "default_order_keys", rename = "keys")]
     pub order_keys: u32,
-    /// Latency objective.
+    /// Message age up to which a delivery has its full value.
     #[serde(rename = "aim")]
     pub latency_objective: f64,
-    /// Messages expire after so long.
+    /// Message age at which a message expires.
     pub deadline: f64,
-    /// Time in which partners drop repeats.
+    /// Time in which partners drop repeats of a message.
     #[serde(default, rename = "window")]
     pub retry_window: f64,
-    /// Worth of one on time.
+    /// Value of a message delivered within the latency objective.
     #[serde(default = "default_one", rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the worth that is left at the deadline.
-    #[serde(default = "late_share", rename = "late_share")]
+    /// Share of that value left at the deadline, from 0 to 1.
+    #[serde(default = "default_late_value_ratio", rename = "late_share")]
     pub late_value_ratio: f64,
 }
 
 impl ClassSpec {
-    /// Worth of a message delivered at this age, in seconds: all of it within the latency objective, then falling
-    /// linearly to `late_share` at the deadline.
+    /// Value of a message delivered at this age, in seconds: the priority weight within the latency objective, then
+    /// falling linearly to its `late_value_ratio` at the deadline.
     pub fn value_at(&self, age: f64) -> f64 {
-        let late = ((age - self.latency_objective) / (self.deadline - self.latency_objective).max(0.001))
+        let lateness = ((age - self.latency_objective) / (self.deadline - self.latency_objective).max(0.001))
             .clamp(0.0, 1.0);
-        self.priority_weight * (1.0 - (1.0 - self.late_value_ratio) * late)
+        self.priority_weight * (1.0 - (1.0 - self.late_value_ratio) * lateness)
     }
 
-    /// The class as the gateways' settings state it.
+    /// Converts the block to a class of the gateways' settings.
     fn class(&self) -> Class {
         Class {
             latency_objective: duration_from_secs(self.latency_objective),
@@ -146,26 +145,26 @@
     }
 }
 
-/// The classes as the gateways' settings state them, in the order of their names.
+/// Converts class blocks to the classes of the gateways' settings, ordered by name.
 pub(crate) fn classes(specs: &BTreeMap<String, ClassSpec>) -> Vec<Class> {
     specs.values().map(ClassSpec::class).collect()
 }
 
-/// The longest time in which a partner drops repeats, over all classes.
+/// Longest retry window of all classes; partners drop repeats for this time.
 pub(crate) fn longest_retry_window(specs: &BTreeMap<String, ClassSpec>) -> Duration {
     duration_from_secs(specs.values().map(|class| class.retry_window).fold(0.0, f64::max))
 }
 
-/// A time setting as a duration; negative ones are zero.
+/// Converts a time setting to a duration; negative values become zero.
 pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
 
-fn all() -> String {
+fn default_group() -> String {
     "all".into()
 }
 
-fn keys() -> u32 {
+fn default_order_keys() -> u32 {
     200
 }
 
@@ -173,6 +172,6 @@
     1.0
 }
 
-fn late_share() -> f64 {
+fn default_late_value_ratio() -> f64 {
     0.3
 }
