--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -31,7 +31,7 @@
 const AGENT_BACKLOG: i32 = 128;
 
 /// Addresses of discovery that a gateway may be moved between.
-pub const AGENTS_OF_A_GATEWAY: usize = 2;
+pub const AGENTS_PER_GATEWAY: usize = 2;
 
 /// A running platform on loopback.
 pub struct Platform {
@@ -49,18 +49,18 @@
     ///
     /// If a port can't be listened on.
     pub fn start(cells: &[u16]) -> io::Result<Platform> {
-        Platform::start_for(cells, 1)
+        Platform::start_with_gateways(cells, 1)
     }
 
-    /// Starts one endpoint for each of these destinations, and for so many gateways [`AGENTS_OF_A_GATEWAY`] addresses of
+    /// Starts one endpoint for each of these destinations, and for so many gateways [`AGENTS_PER_GATEWAY`] addresses of
     /// discovery each, in the order of the gateways. Each endpoint delivers at once, and each agent answers at once, until
     /// its behaviour is set.
     ///
     /// # Errors
     ///
     /// If a port can't be listened on.
-    pub fn start_for(cells: &[u16], gateways: usize) -> io::Result<Platform> {
-        let agents = gateways * AGENTS_OF_A_GATEWAY;
+    pub fn start_with_gateways(cells: &[u16], gateways: usize) -> io::Result<Platform> {
+        let agents = gateways * AGENTS_PER_GATEWAY;
         let shared = Arc::new(Shared::new(State::new(cells, agents)));
         let mut endpoints = Vec::new();
         for endpoint in 0..cells.len() {
@@ -88,7 +88,7 @@
     }
 
     /// Sets how an agent answers from now on.
-    pub fn set_agent(&self, address: usize, behaviour: AgentBehaviour) {
+    pub fn set_agent_behaviour(&self, address: usize, behaviour: AgentBehaviour) {
         self.shared.state().agents[address] = behaviour;
     }
 
--- a/crates/fakes/src/platform/invariants.rs
+++ b/crates/fakes/src/platform/invariants.rs
@@ -22,7 +22,7 @@
     /// Requests a second that a healthy endpoint takes.
     pub capacity: f64,
     /// Share of its capacity that it has at once.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// When it has all of it.
     pub warm_up_time: Duration,
     /// It falls when it gets more than this multiple of its capacity,
@@ -41,7 +41,7 @@
     /// How long after a restarted gateway is ready its messages may still get their ends.
     pub restart_grace: Duration,
     /// Share of its time before which a message that never was sent may not be given up.
-    pub given_up_share: f64,
+    pub min_give_up_share: f64,
     /// How long a key rests behind an attempt that may still run.
     pub settle_time: Duration,
     /// How long after a gateway was told that an endpoint drains it may send there.
@@ -56,7 +56,7 @@
             repeat_window: Duration::MAX,
             outcome_slack: Duration::MAX,
             restart_grace: Duration::MAX,
-            given_up_share: 0.0,
+            min_give_up_share: 0.0,
             settle_time: Duration::ZERO,
             drain_grace: Duration::MAX,
             slow_start: None,
--- a/crates/fakes/src/platform/invariants/endpoint_limits.rs
+++ b/crates/fakes/src/platform/invariants/endpoint_limits.rs
@@ -1,7 +1,7 @@
 //! Checks of what endpoints may be sent: nothing inside a `Retry-After`, nothing while they drain, little while they recover.
 
 use super::super::events::PlatformEvent;
-use super::super::AGENTS_OF_A_GATEWAY;
+use super::super::AGENTS_PER_GATEWAY;
 use super::facts::Facts;
 use super::{InvariantRules, SlowStartRule, Violation, ViolationKind, LIMIT_SLACK};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -76,7 +76,7 @@
             PlatformEvent::AttemptEnded { id } | PlatformEvent::NotExecuted { id } => self.on_failure(id),
             PlatformEvent::RetryAfter { id, endpoint, wait } => self.on_retry_after(at, id, *endpoint, *wait),
             PlatformEvent::ListSent { address, draining } => {
-                self.on_list(at, *address / AGENTS_OF_A_GATEWAY, draining);
+                self.on_list(at, *address / AGENTS_PER_GATEWAY, draining);
             }
             // Lists reach a process that ends as long as it runs.
             PlatformEvent::GatewayDown { gateway } | PlatformEvent::GatewayStarted { gateway } => {
@@ -179,7 +179,7 @@
 /// How many requests in an overload window an endpoint bears so long after its return, with the standing page's slack.
 fn most_requests(elapsed: Duration, rule: SlowStartRule) -> f64 {
     let warm_share = elapsed.as_secs_f64() / rule.warm_up_time.as_secs_f64();
-    let share = rule.cold_share + (1.0 - rule.cold_share) * warm_share;
+    let share = rule.initial_capacity_share + (1.0 - rule.initial_capacity_share) * warm_share;
     let allowed = rule.overload_multiple * rule.capacity * share * rule.overload_window.as_secs_f64();
     if allowed < 30.0 {
         allowed + 3.0 * allowed.sqrt() + 3.0
--- a/crates/fakes/src/platform/invariants/outcomes.rs
+++ b/crates/fakes/src/platform/invariants/outcomes.rs
@@ -73,7 +73,7 @@
         self.notified.entry(id).or_insert(at);
         let submission = self.facts.submissions.get(id).filter(|_| self.facts.accepted.contains_key(id));
         let is_early = submission.is_some_and(|submission| {
-            at < submission.at + submission.time_left.mul_f64(self.rules.given_up_share)
+            at < submission.at + submission.time_left.mul_f64(self.rules.min_give_up_share)
         });
         if is_early && status == "deferred" && !self.sent.contains(id) {
             self.violate(ViolationKind::EarlyGivenUp, at, id);
--- a/crates/testbench/src/soak/gateways.rs
+++ b/crates/testbench/src/soak/gateways.rs
@@ -4,7 +4,7 @@
 use super::keys::SharedKeys;
 use super::options::RunOptions;
 use crate::process::GatewayProcess;
-use cloverstile_fakes::platform::{read_line, Platform, PlatformEvent, AGENTS_OF_A_GATEWAY};
+use cloverstile_fakes::platform::{read_line, Platform, PlatformEvent, AGENTS_PER_GATEWAY};
 use cloverstile_fault_injection::FaultControl;
 use rustix::process::Signal;
 use std::fs::{self, File};
@@ -98,7 +98,7 @@
 
     /// Writes the configuration, and replaces the old one by it.
     fn write_config(&self) -> io::Result<()> {
-        let agent = self.number * AGENTS_OF_A_GATEWAY + *lock(&self.discovery);
+        let agent = self.number * AGENTS_PER_GATEWAY + *lock(&self.discovery);
         let discovery = self.platform.discovery[agent];
         let list = self.platform.endpoint_list();
         let config = gateway_config(self.number, self.gateways, self.address, discovery, &list);
@@ -114,7 +114,7 @@
     pub fn reload(&self, elsewhere: bool) -> io::Result<()> {
         if elsewhere {
             let mut discovery = lock(&self.discovery);
-            *discovery = (*discovery + 1) % AGENTS_OF_A_GATEWAY;
+            *discovery = (*discovery + 1) % AGENTS_PER_GATEWAY;
             drop(discovery);
             self.write_config()?;
         }
@@ -131,7 +131,7 @@
 
     /// Discovery addresses of this gateway, by their index.
     pub fn agents(&self) -> std::ops::Range<usize> {
-        self.number * AGENTS_OF_A_GATEWAY..(self.number + 1) * AGENTS_OF_A_GATEWAY
+        self.number * AGENTS_PER_GATEWAY..(self.number + 1) * AGENTS_PER_GATEWAY
     }
 
     /// Number of processes started.
--- a/crates/testbench/src/soak/run.rs
+++ b/crates/testbench/src/soak/run.rs
@@ -72,7 +72,7 @@
 pub fn play_seed(seed: u64, options: &RunOptions) -> io::Result<SeedResult> {
     let plan = FaultPlan::new(seed, options.profile, destinations().len());
     let plan = if options.with_faults { plan } else { plan.without_faults() };
-    let platform = Platform::start_for(destinations(), plan.gateways)?;
+    let platform = Platform::start_with_gateways(destinations(), plan.gateways)?;
     let capacity = CAPACITY_OF_A_GATEWAY * plan.gateways as f64;
     platform.set_weight(capacity);
     let gateways: Vec<Gateway> = (0..plan.gateways)
@@ -87,12 +87,12 @@
         repeat_window: REPEAT_WINDOW + WINDOW_SLACK,
         outcome_slack: OUTCOME_SLACK,
         restart_grace: RESTART_GRACE,
-        given_up_share: GIVEN_UP_SHARE,
+        min_give_up_share: GIVEN_UP_SHARE,
         settle_time: SETTLE_TIME,
         drain_grace: DRAIN_GRACE + HOLD_UP,
         slow_start: Some(SlowStartRule {
             capacity,
-            cold_share: COLD_SHARE,
+            initial_capacity_share: COLD_SHARE,
             warm_up_time: WARM_UP_TIME,
             overload_multiple: OVERLOAD_MULTIPLE,
             overload_window: OVERLOAD_WINDOW,
@@ -191,7 +191,7 @@
                 Ok(())
             }
             Fault::Agent { behaviour, lasts } => {
-                gateway.agents().for_each(|agent| self.platform.set_agent(agent, *behaviour));
+                gateway.agents().for_each(|agent| self.platform.set_agent_behaviour(agent, *behaviour));
                 std::thread::sleep(*lasts);
                 self.heal_agents(gateway);
                 Ok(())
@@ -208,7 +208,7 @@
     }
 
     fn heal_agents(&self, gateway: &Gateway) {
-        gateway.agents().for_each(|agent| self.platform.set_agent(agent, AgentBehaviour::Prompt));
+        gateway.agents().for_each(|agent| self.platform.set_agent_behaviour(agent, AgentBehaviour::Prompt));
     }
 
     fn fail_endpoint(&self, endpoint: usize, fault: EndpointFault) {
