--- a/crates/as2-gateway/src/test_cluster/settings_text.rs
+++ b/crates/as2-gateway/src/test_cluster/settings_text.rs
@@ -52,7 +52,7 @@
 
     fn partner_block(&self, number: usize, partner: &PartnerSpec) -> String {
         let profile = &partner.profile;
-        let rate = profile.limit.unwrap_or_else(|| profile.capacity());
+        let rate = profile.rate_limit.unwrap_or_else(|| profile.capacity());
         let encrypt = if partner.key == NewKey::P256 { "none" } else { "aes128-cbc" };
         let receipt = if partner.async_receipts { "async" } else { "signed" };
         let mut text = format!(
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -157,8 +157,8 @@
 
 /// Makes one partner silent and truncates responses of another one, for `duration` from now on.
 fn inject_faults(cluster: &TestCluster, duration: Duration) {
-    let silent = PartnerCommand::Fault { partner: 1, fault: Fault::Silent, zone: None, duration };
+    let silent = PartnerCommand::Fault { partner: 1, fault: Fault::Silent, group: None, duration };
     cluster.partners.send(silent);
     let fault = Fault::TruncateResponses(LOST_RESPONSE_SHARE);
-    cluster.partners.send(PartnerCommand::Fault { partner: 2, fault, zone: None, duration });
+    cluster.partners.send(PartnerCommand::Fault { partner: 2, fault, group: None, duration });
 }
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -51,7 +51,7 @@
                     class_of.insert(id.as_str(), class);
                 }
                 ObservedEvent::EffectApplied { id, .. } => *effect_counts.entry(id).or_default() += 1,
-                ObservedEvent::Answered { id, outcome, .. } => {
+                ObservedEvent::OutcomeReceived { id, outcome, .. } => {
                     last_outcome.insert(id.as_str(), outcome);
                 }
                 _ => {}
--- a/crates/cli/src/demo/scenario.rs
+++ b/crates/cli/src/demo/scenario.rs
@@ -33,7 +33,7 @@
         profile: ServerProfile {
             servers: (f64::from(rate) * share * 0.06).ceil().max(4.0) as usize,
             queue: 64,
-            repeat_window: Duration::from_secs(10),
+            deduplication_window: Duration::from_secs(10),
             ..ServerProfile::default()
         },
         zones: vec![0, 0],
@@ -70,7 +70,7 @@
             let partner = SHARE_BOUNDS.iter().filter(|bound| sample >= **bound).count();
             let is_payment = partner < BANKS;
             PlannedMessage {
-                at: start + duration.mul_f64(f64::from(number) / f64::from(messages)),
+                submit_at: start + duration.mul_f64(f64::from(number) / f64::from(messages)),
                 id: format!("demo-{seed}-{number}@client-0"),
                 class: if is_payment { "salary-payment" } else { "pay-notice" }.into(),
                 partner: PARTNERS[partner].into(),
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -217,7 +217,7 @@
     let silent = PartnerCommand::Fault {
         partner: 0,
         fault: Fault::Silent,
-        zone: None,
+        group: None,
         duration: Duration::from_secs(60),
     };
     harness.cluster.partners.send(silent);
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -49,7 +49,7 @@
     /// Time until a resubmission, where the response has no `Retry-After`.
     pub retry_delay: Duration,
     /// How long after its deadline a message's outcome is waited for.
-    pub answer_timeout: Duration,
+    pub outcome_timeout: Duration,
 }
 
 impl Default for ClientBehaviour {
@@ -60,7 +60,7 @@
             deferred_receipts: false,
             max_resubmissions: 1,
             retry_delay: Duration::from_millis(300),
-            answer_timeout: Duration::from_secs(3),
+            outcome_timeout: Duration::from_secs(3),
         }
     }
 }
@@ -233,7 +233,7 @@
         }
         message.submissions += 1;
         if message.submissions == 1 {
-            self.messages.schedule_timeout(deadline + self.behaviour.answer_timeout, index);
+            self.messages.schedule_timeout(deadline + self.behaviour.outcome_timeout, index);
         }
         self.compose(index, gateway);
         let message = self.messages.get(index);
@@ -317,7 +317,7 @@
         if self.messages.get(index).finished {
             // A repeated receipt is recorded too: it may report another outcome.
             let id = receipt.original_id;
-            return self.recorder.record(ObservedEvent::Answered { id, gateway, outcome });
+            return self.recorder.record(ObservedEvent::OutcomeReceived { id, gateway, outcome });
         }
         self.on_outcome(index, gateway, outcome, message);
     }
@@ -336,7 +336,7 @@
         let now = self.recorder.now();
         let message = self.messages.get_mut(index);
         let id = message.planned.id.clone();
-        self.recorder.record(ObservedEvent::Answered { id, gateway, outcome });
+        self.recorder.record(ObservedEvent::OutcomeReceived { id, gateway, outcome });
         let seconds = response.headers.get("retry-after").and_then(|text| text.parse().ok());
         let retry_after = seconds.map_or(self.behaviour.retry_delay, Duration::from_secs);
         let resubmissions = self.behaviour.max_resubmissions;
--- a/crates/fakes/src/client/messages.rs
+++ b/crates/fakes/src/client/messages.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct PlannedMessage {
     /// When it is first submitted, from the start of the run.
-    pub at: Duration,
+    pub submit_at: Duration,
     /// Message-ID.
     pub id: String,
     /// Class, as the gateways' settings name it.
@@ -106,7 +106,7 @@
         for (position, planned) in plan.into_iter().enumerate() {
             let index = MessageIndex(position);
             table.by_id.insert(planned.id.clone(), index);
-            table.due.insert((planned.at, index));
+            table.due.insert((planned.submit_at, index));
             table.messages.push(PendingMessage::new(planned));
         }
         table
--- a/crates/fakes/src/limit.rs
+++ b/crates/fakes/src/limit.rs
@@ -22,7 +22,7 @@
     /// Rejected requests count too, also below zero tokens: the limit recovers only while clients back off.
     pub counts_rejected: bool,
     /// Greatest age of the state that a response advertises.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
 }
 
 /// A limit and what remains of it, as an endpoint last advertised it.
@@ -66,7 +66,7 @@
     }
 
     /// Stops the refresh of what endpoints advertise, or resumes it.
-    pub fn freeze_reports(&mut self, frozen: bool) {
+    pub fn freeze_advertised(&mut self, frozen: bool) {
         self.frozen = frozen;
     }
 
@@ -127,7 +127,7 @@
         };
         let fresh =
             AdvertisedLimit { remaining: (self.tokens / whole).clamp(0.0, 1.0), limit: self.settings.rate };
-        let (frozen, refresh) = (self.frozen, self.settings.refresh);
+        let (frozen, refresh) = (self.frozen, self.settings.refresh_interval);
         let known = self.known.get_mut(endpoint)?;
         if known.is_none_or(|(since, _)| !frozen && now.saturating_sub(since) >= refresh) {
             *known = Some((now, fresh));
--- a/crates/fakes/src/model.rs
+++ b/crates/fakes/src/model.rs
@@ -18,11 +18,11 @@
     /// Mean of the exponentially distributed time on top of it.
     pub mean_extra_service_time: Duration,
     /// Requests a second that it accepts from all gateways together; none: its capacity is the only limit.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Rejections carry `Retry-After`.
     pub sends_retry_after: bool,
     /// How long a repeat of a message takes no effect.
-    pub repeat_window: Duration,
+    pub deduplication_window: Duration,
     /// Share of its capacity (0 to 1) right after an outage.
     pub initial_capacity_share: f64,
     /// Time after an outage until it has its whole capacity again.
@@ -40,9 +40,9 @@
             queue: 16,
             min_service_time: Duration::from_millis(10),
             mean_extra_service_time: Duration::from_millis(20),
-            limit: None,
+            rate_limit: None,
             sends_retry_after: false,
-            repeat_window: Duration::from_secs(10),
+            deduplication_window: Duration::from_secs(10),
             initial_capacity_share: 0.2,
             warm_up_time: Duration::from_secs(4),
             collapse_multiple: 2.0,
@@ -60,7 +60,7 @@
 
     /// Requests a second that it accepts when warmed up: the lesser of limit and capacity.
     pub fn rate(&self) -> f64 {
-        self.limit.unwrap_or(f64::INFINITY).min(self.capacity())
+        self.rate_limit.unwrap_or(f64::INFINITY).min(self.capacity())
     }
 
     /// Share of its capacity (0 to 1) so long after the end of an outage.
@@ -175,7 +175,7 @@
 impl PartnerModel {
     /// An idle, warmed-up partner.
     pub fn new(profile: ServerProfile, rng: ChaCha8Rng) -> Self {
-        let tokens = profile.limit.unwrap_or(0.0).max(1.0);
+        let tokens = profile.rate_limit.unwrap_or(0.0).max(1.0);
         PartnerModel {
             free: vec![Duration::ZERO; profile.servers.max(1)],
             profile,
@@ -228,8 +228,8 @@
     }
 
     /// Remaining share of the limit (0 to 1) and the limit (requests a second), as responses advertise them.
-    pub fn allowance(&self) -> Option<(f64, f64)> {
-        self.profile.limit.map(|limit| ((self.tokens / limit.max(1.0)).clamp(0.0, 1.0), limit))
+    pub fn rate_limit_state(&self) -> Option<(f64, f64)> {
+        self.profile.rate_limit.map(|limit| ((self.tokens / limit.max(1.0)).clamp(0.0, 1.0), limit))
     }
 
     /// Decides how a whole request is handled.
@@ -239,7 +239,7 @@
         if self.collapsed {
             return decision(Reply::Rejected(None), false);
         }
-        let window = self.profile.repeat_window;
+        let window = self.profile.deduplication_window;
         let is_first = self.first_seen.get(id).is_none_or(|first| now.saturating_sub(*first) >= window);
         let fault = self.fault;
         match fault {
@@ -328,7 +328,7 @@
 
     /// Takes a token; without one, returns the time until there is one.
     fn wait_for_token(&mut self, now: Duration) -> Option<Duration> {
-        let limit = self.profile.limit?;
+        let limit = self.profile.rate_limit?;
         let passed = now.saturating_sub(self.filled).as_secs_f64();
         self.tokens = (self.tokens + passed * limit).min(limit.max(1.0));
         self.filled = now;
--- a/crates/fakes/src/partner.rs
+++ b/crates/fakes/src/partner.rs
@@ -5,7 +5,7 @@
 mod served;
 mod server;
 
-pub use config::{FakePartner, PartnerCommand, ResponseFault};
+pub use config::{FakePartner, PartnerCommand, ReceiptFault};
 
 use crate::record::Recorder;
 use cloverstile_as2::Certificate;
--- a/crates/fakes/src/partner/config.rs
+++ b/crates/fakes/src/partner/config.rs
@@ -32,7 +32,7 @@
 
 /// A deliberate fault in receipts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseFault {
+pub enum ReceiptFault {
     /// The integrity check value is another message's.
     WrongMic,
     /// Signed by another partner.
@@ -52,16 +52,16 @@
         /// The fault.
         fault: Fault,
         /// Group of endpoints that is affected; all of them where there is none.
-        zone: Option<usize>,
+        group: Option<usize>,
         /// How long it lasts.
         duration: Duration,
     },
     /// Sets the fault in all receipts of a partner.
-    SetResponseFault {
+    SetReceiptFault {
         /// Index of the partner.
         partner: usize,
         /// The fault; none ends it.
-        fault: Option<ResponseFault>,
+        fault: Option<ReceiptFault>,
     },
     /// Ends the thread.
     Stop,
--- a/crates/fakes/src/partner/receipts.rs
+++ b/crates/fakes/src/partner/receipts.rs
@@ -1,6 +1,6 @@
 //! Opens messages as a partner and composes their receipts, with the faults that were asked for.
 
-use super::config::ResponseFault;
+use super::config::ReceiptFault;
 use crate::model::Reply;
 use cloverstile_as2::{
     compose_receipt, open, Certificate, ComposedMessage, Digest, Disposition, Envelope, Identity,
@@ -22,7 +22,7 @@
     pub(super) identity: &'a Identity,
     /// Any other partner, for receipts that are signed wrongly.
     pub(super) other: Option<&'a Identity>,
-    pub(super) fault: Option<ResponseFault>,
+    pub(super) fault: Option<ReceiptFault>,
 }
 
 /// Opens a message and composes its receipt; none if its headers are not AS2.
@@ -40,7 +40,7 @@
         (Ok(opened), _) => (Disposition::Processed, Some(opened.mic)),
         (Err(error), _) => (Disposition::Error(error.disposition_name().into()), None),
     };
-    if let (Some(ResponseFault::WrongMic), Some(mic)) = (signer.fault, &mut mic) {
+    if let (Some(ReceiptFault::WrongMic), Some(mic)) = (signer.fault, &mut mic) {
         mic.value.reverse();
     }
     let requested = envelope.receipt.and_then(|receipt| receipt.signed.first().copied());
@@ -56,7 +56,7 @@
         final_outcome: None,
     };
     let identity = match signer.fault {
-        Some(ResponseFault::WrongSigner) => signer.other.unwrap_or(signer.identity),
+        Some(ReceiptFault::WrongSigner) => signer.other.unwrap_or(signer.identity),
         _ => signer.identity,
     };
     let receipt = compose_receipt(&content, identity, digest).ok();
--- a/crates/fakes/src/partner/served.rs
+++ b/crates/fakes/src/partner/served.rs
@@ -1,6 +1,6 @@
 //! One partner while it is served: its models, listeners and present faults.
 
-use super::config::{FakePartner, ResponseFault};
+use super::config::{FakePartner, ReceiptFault};
 use crate::model::{Fault, PartnerModel};
 use cloverstile_http::Headers;
 use cloverstile_net::ListenerId;
@@ -21,7 +21,7 @@
     /// One for each group of endpoints.
     models: Vec<PartnerModel>,
     pub(super) listeners: Vec<EndpointListener>,
-    pub(super) response_fault: Option<ResponseFault>,
+    pub(super) receipt_fault: Option<ReceiptFault>,
     pub(super) fault_ends: Option<Duration>,
     /// The group that the fault affects; all of them where there is none.
     pub(super) affected_group: Option<usize>,
@@ -37,7 +37,7 @@
             models: (0..groups).map(model).collect(),
             config,
             listeners,
-            response_fault: None,
+            receipt_fault: None,
             fault_ends: None,
             affected_group: None,
         }
@@ -87,7 +87,7 @@
     /// The limit's state as header fields of a response.
     pub(super) fn limit_headers(&self) -> Headers {
         let mut headers = Headers::new();
-        if let Some((remaining, limit)) = self.models[0].allowance() {
+        if let Some((remaining, limit)) = self.models[0].rate_limit_state() {
             headers.add("RateLimit-Policy", format!("\"calls\";q={};w=1", limit.round()));
             headers.add("RateLimit", format!("\"calls\";r={};t=1", (remaining * limit).floor()));
         }
--- a/crates/fakes/src/partner/server.rs
+++ b/crates/fakes/src/partner/server.rs
@@ -1,6 +1,6 @@
 //! The event loop of fake partners: requests in, responses and deferred receipts out when their model says.
 
-use super::config::{FakePartner, PartnerCommand, ResponseFault};
+use super::config::{FakePartner, PartnerCommand, ReceiptFault};
 use super::receipts::{self, ReceiptSigner};
 use super::served::{EndpointListener, ServedPartner};
 use crate::model::{Fault, Reply};
@@ -120,11 +120,11 @@
             }
             while let Ok(command) = commands.try_recv() {
                 match command {
-                    PartnerCommand::Fault { partner, fault, zone, duration } => {
-                        self.begin_fault(partner, fault, zone, duration);
+                    PartnerCommand::Fault { partner, fault, group, duration } => {
+                        self.begin_fault(partner, fault, group, duration);
                     }
-                    PartnerCommand::SetResponseFault { partner, fault } => {
-                        self.partners[partner].response_fault = fault;
+                    PartnerCommand::SetReceiptFault { partner, fault } => {
+                        self.partners[partner].receipt_fault = fault;
                     }
                     PartnerCommand::Stop => return,
                 }
@@ -379,7 +379,7 @@
         let identity = &served.config.identity;
         let identities = self.partners.iter().map(|partner| &*partner.config.identity);
         let other = identities.into_iter().find(|other| other.name != identity.name);
-        let signer = ReceiptSigner { identity, other, fault: served.response_fault };
+        let signer = ReceiptSigner { identity, other, fault: served.receipt_fault };
         let composed = receipts::compose_for(&due.message, sender, due.reply, &signer)?;
         if due.takes_effect && composed.opened {
             self.record_effect(due.partner, composed.message_id);
@@ -398,9 +398,9 @@
         headers.add("Host", address.to_string()).add("Connection", "close");
         let bytes = encode_request("POST", &path, &headers, &receipt.body);
         let now = self.recorder.now();
-        let (copies, delay_ms) = match self.partners[due.partner].response_fault {
-            Some(ResponseFault::Duplicate) => (2, 0),
-            Some(ResponseFault::Delay(ms)) => (1, ms),
+        let (copies, delay_ms) = match self.partners[due.partner].receipt_fault {
+            Some(ReceiptFault::Duplicate) => (2, 0),
+            Some(ReceiptFault::Delay(ms)) => (1, ms),
             _ => (1, 0),
         };
         for copy in 0..copies {
--- a/crates/fakes/src/record.rs
+++ b/crates/fakes/src/record.rs
@@ -76,7 +76,7 @@
     },
     /// A client read a final outcome.
     #[serde(rename = "answer")]
-    Answered {
+    OutcomeReceived {
         /// Message-ID.
         id: String,
         /// Index of the gateway.
--- a/crates/fakes/tests/limit.rs
+++ b/crates/fakes/tests/limit.rs
@@ -8,7 +8,12 @@
 }
 
 fn settings() -> LimitSettings {
-    LimitSettings { rate: 10.0, kind: LimitKind::TokenBucket, counts_rejected: false, refresh: ms(500) }
+    LimitSettings {
+        rate: 10.0,
+        kind: LimitKind::TokenBucket,
+        counts_rejected: false,
+        refresh_interval: ms(500),
+    }
 }
 
 #[test]
@@ -46,8 +51,8 @@
     (0..5).for_each(|_| assert!(limit.try_acquire(ms(0)).is_ok()));
     assert_eq!(limit.advertised(ms(10), 0).map(|advertised| advertised.remaining), Some(1.0));
     assert_eq!(limit.advertised(ms(10), 1).map(|advertised| advertised.remaining), Some(0.51));
-    limit.freeze_reports(true);
+    limit.freeze_advertised(true);
     assert_eq!(limit.advertised(ms(9000), 1).map(|advertised| advertised.remaining), Some(0.51));
-    limit.freeze_reports(false);
+    limit.freeze_advertised(false);
     assert_eq!(limit.advertised(ms(9000), 1).map(|advertised| advertised.remaining), Some(1.0));
 }
--- a/crates/fakes/tests/model.rs
+++ b/crates/fakes/tests/model.rs
@@ -24,7 +24,7 @@
 #[test]
 fn requests_over_the_limit_or_the_queue_are_rejected() {
     let mut limited =
-        partner(ServerProfile { limit: Some(2.0), sends_retry_after: true, ..ServerProfile::default() });
+        partner(ServerProfile { rate_limit: Some(2.0), sends_retry_after: true, ..ServerProfile::default() });
     let replies: Vec<Reply> =
         (0..3).map(|i| limited.handle_request(seconds(0.0), &i.to_string()).reply).collect();
     assert_eq!(replies, [Reply::Processed, Reply::Processed, Reply::Rejected(Some(seconds(0.5)))]);
--- a/crates/simulator/src/failover/simulation/requests.rs
+++ b/crates/simulator/src/failover/simulation/requests.rs
@@ -37,7 +37,7 @@
         // has no effect.
         let Some(number) = number else { return };
         let decision = site.model.handle_request(now, &number.to_string());
-        let remaining = site.model.allowance().map(|(remaining, _)| (remaining * 1e6) as u32);
+        let remaining = site.model.rate_limit_state().map(|(remaining, _)| (remaining * 1e6) as u32);
         let tier = site.tier;
         self.record_tier(number, tier);
         if decision.takes_effect {
@@ -72,7 +72,7 @@
         let message = &mut self.run.messages[number as usize];
         let class = &self.settings.classes[usize::from(message.class)];
         // With group `all`, the sites share idempotency keys and drop a repeat at whichever site it arrives.
-        let window = self.sites[site as usize].model.profile().repeat_window;
+        let window = self.sites[site as usize].model.profile().deduplication_window;
         let deduplicated = message.last_effect_at.is_some_and(|at| self.now < at + window);
         if class.effect == Effect::Keyed && class.group == Group::All && deduplicated {
             return;
@@ -102,7 +102,7 @@
         if !self.in_flight.remove(&(instance, epoch, attempt)) {
             return;
         }
-        let limit = self.sites[site as usize].model.profile().limit.unwrap_or(0.0);
+        let limit = self.sites[site as usize].model.profile().rate_limit.unwrap_or(0.0);
         let status = |remaining: u32| RateLimitStatus { remaining: f64::from(remaining) / 1e6, limit };
         let (outcome, rate_limit) = match reply {
             SiteResponse::Processed(remaining) => (TransportOutcome::Processed, remaining.map(status)),
--- a/crates/simulator/src/load_balance/partners.rs
+++ b/crates/simulator/src/load_balance/partners.rs
@@ -233,7 +233,7 @@
     pub fn freeze_reports(&mut self, frozen: bool) {
         self.reports_frozen = frozen;
         for limit in self.partners.iter_mut().flat_map(|partner| &mut partner.limits) {
-            limit.freeze_reports(frozen);
+            limit.freeze_advertised(frozen);
         }
     }
 
--- a/crates/simulator/src/load_balance/scenario.rs
+++ b/crates/simulator/src/load_balance/scenario.rs
@@ -346,9 +346,9 @@
             queue: partner.queue,
             min_service_time: duration_from_secs(partner.service_ms[0] / 1e3),
             mean_extra_service_time: duration_from_secs(partner.service_ms[1] / 1e3),
-            limit: None,
+            rate_limit: None,
             sends_retry_after: false,
-            repeat_window: longest_retry_window(&self.class),
+            deduplication_window: longest_retry_window(&self.class),
             initial_capacity_share: self.rules.warm_up_capacity,
             warm_up_time: duration_from_secs(self.rules.warm_up_time),
             collapse_multiple: self.rules.overload_multiple,
@@ -364,7 +364,7 @@
                 LimitKind::FixedWindow(duration_from_secs(seconds))
             }),
             counts_rejected: partner.counts_rejected,
-            refresh: duration_from_secs(self.report_interval_ms / 1e3),
+            refresh_interval: duration_from_secs(self.report_interval_ms / 1e3),
         }
     }
 }
--- a/crates/testbench/src/benchmark/memory.rs
+++ b/crates/testbench/src/benchmark/memory.rs
@@ -71,7 +71,7 @@
     let started = command.start(&cluster.settings_files[0], 0)?;
     let of_connections = bytes_of_connections(&started.process, started.address, connections)?;
     let fault = Fault::Silent;
-    cluster.partners.send(PartnerCommand::Fault { partner: 0, fault, zone: None, duration: SILENCE });
+    cluster.partners.send(PartnerCommand::Fault { partner: 0, fault, group: None, duration: SILENCE });
     let gateways = cluster.gateway_set(vec![started.address]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let [mut plan, _] = scenario.plan_messages(&mut rng, 1, recorder.now());
--- a/crates/testbench/src/benchmark/sockets.rs
+++ b/crates/testbench/src/benchmark/sockets.rs
@@ -68,7 +68,7 @@
 /// From the first submission to the last answer.
 fn time_to_last_answer(lines: &[RecordLine]) -> Duration {
     let first = lines.iter().find(|line| matches!(line.event, ObservedEvent::Submitted { .. }));
-    let last = lines.iter().rev().find(|line| matches!(line.event, ObservedEvent::Answered { .. }));
+    let last = lines.iter().rev().find(|line| matches!(line.event, ObservedEvent::OutcomeReceived { .. }));
     let at = |line: Option<&RecordLine>| line.map_or(0, |line| line.at);
     Duration::from_micros(at(last).saturating_sub(at(first)).max(1))
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/scenario_report.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scenario_report.rs
@@ -112,7 +112,7 @@
                 ObservedEvent::Submitted { id, .. } => {
                     submitted_at.entry(id).or_insert(line.at);
                 }
-                ObservedEvent::Answered { id, .. } => {
+                ObservedEvent::OutcomeReceived { id, .. } => {
                     if let Some(since) = submitted_at.remove(id.as_str()) {
                         histogram.saturating_record(line.at.saturating_sub(since).max(1));
                     }
--- a/crates/testbench/src/invariants/history.rs
+++ b/crates/testbench/src/invariants/history.rs
@@ -111,7 +111,7 @@
                 history.submissions.push(Submission { at, gateway: *gateway });
             }
             ObservedEvent::Accepted { id, .. } => self.messages.entry(id).or_default().accepted_at.push(at),
-            ObservedEvent::Answered { id, gateway, outcome } => {
+            ObservedEvent::OutcomeReceived { id, gateway, outcome } => {
                 let answer = Answer { at, gateway: *gateway, outcome: *outcome };
                 self.messages.entry(id).or_default().answers.push(answer);
             }
--- a/crates/testbench/src/invariants/settings.rs
+++ b/crates/testbench/src/invariants/settings.rs
@@ -80,7 +80,7 @@
         let cluster = scenario.cluster_spec();
         let partners = cluster.partners.iter().map(|partner| {
             let capacity = partner.profile.capacity();
-            let capacity = partner.profile.limit.map_or(capacity, |limit| limit.min(capacity));
+            let capacity = partner.profile.rate_limit.map_or(capacity, |limit| limit.min(capacity));
             (partner.name.clone(), PartnerRule { capacity, zones: partner.zones.clone() })
         });
         let rules = &scenario.rules;
--- a/crates/testbench/src/scenario/faults.rs
+++ b/crates/testbench/src/scenario/faults.rs
@@ -3,7 +3,7 @@
 use super::error::ScenarioError;
 use super::settings::{FaultScenario, FaultSettings};
 use cloverstile_fakes::model::Fault;
-use cloverstile_fakes::partner::ResponseFault;
+use cloverstile_fakes::partner::ReceiptFault;
 
 /// What a fault does. Partners are numbered in the order of their names.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -22,7 +22,7 @@
         /// Number of the partner.
         partner: usize,
         /// How the receipts are faulty.
-        fault: ResponseFault,
+        fault: ReceiptFault,
     },
     /// An endpoint drains and comes back.
     Drain {
@@ -77,14 +77,14 @@
     }
 
     fn fault_event(&self, fault: &FaultSettings) -> Result<FaultEvent, String> {
-        let receipts = |kind: ResponseFault| -> Result<FaultEvent, String> {
+        let receipts = |kind: ReceiptFault| -> Result<FaultEvent, String> {
             Ok(FaultEvent::Receipts { partner: self.affected_partner(fault)?, fault: kind })
         };
         match fault.kind.as_str() {
-            "wrong-mic" => receipts(ResponseFault::WrongMic),
-            "wrong-signer" => receipts(ResponseFault::WrongSigner),
-            "twice" => receipts(ResponseFault::Duplicate),
-            "late-receipts" => receipts(ResponseFault::Delay((fault.size * 1000.0) as u64)),
+            "wrong-mic" => receipts(ReceiptFault::WrongMic),
+            "wrong-signer" => receipts(ReceiptFault::WrongSigner),
+            "twice" => receipts(ReceiptFault::Duplicate),
+            "late-receipts" => receipts(ReceiptFault::Delay((fault.size * 1000.0) as u64)),
             "drain" => {
                 Ok(FaultEvent::Drain { partner: self.affected_partner(fault)?, endpoint: fault.endpoint })
             }
--- a/crates/testbench/src/scenario/traffic.rs
+++ b/crates/testbench/src/scenario/traffic.rs
@@ -39,7 +39,7 @@
             let client = usize::from(class.ordered);
             let length = rng.random_range(CONTENT_LENGTH);
             plan[client].push(PlannedMessage {
-                at: start + Duration::from_secs_f64(at),
+                submit_at: start + Duration::from_secs_f64(at),
                 id: format!("m{number}.{seed}@client-{client}"),
                 class: class_name.clone(),
                 // What concerns one employee goes to one partner: its system.
--- a/crates/testbench/src/scenario_run/gateways.rs
+++ b/crates/testbench/src/scenario_run/gateways.rs
@@ -7,7 +7,7 @@
 use cloverstile_as2_gateway::test_cluster::TestCluster;
 use cloverstile_fakes::client::GatewaySet;
 use cloverstile_fakes::model::Fault;
-use cloverstile_fakes::partner::{PartnerCommand, ResponseFault};
+use cloverstile_fakes::partner::{PartnerCommand, ReceiptFault};
 use cloverstile_fakes::record::{ObservedEvent, Recorder};
 use rustix::process::Signal;
 use std::collections::BTreeSet;
@@ -75,12 +75,12 @@
 
     /// Lets a partner fail for a time, in one zone or in all.
     pub fn begin_partner_fault(&self, partner: usize, fault: Fault, zone: Option<usize>, duration: Duration) {
-        self.cluster.partners.send(PartnerCommand::Fault { partner, fault, zone, duration });
+        self.cluster.partners.send(PartnerCommand::Fault { partner, fault, group: zone, duration });
     }
 
     /// Lets a partner's receipts be faulty from now on, or sound again.
-    pub fn set_receipt_fault(&self, partner: usize, fault: Option<ResponseFault>) {
-        self.cluster.partners.send(PartnerCommand::SetResponseFault { partner, fault });
+    pub fn set_receipt_fault(&self, partner: usize, fault: Option<ReceiptFault>) {
+        self.cluster.partners.send(PartnerCommand::SetReceiptFault { partner, fault });
     }
 
     /// Drains an endpoint or takes it back, and lets all gateways read their settings again.
--- a/crates/testbench/tests/invariants.rs
+++ b/crates/testbench/tests/invariants.rs
@@ -72,7 +72,7 @@
     }
 
     fn answer(&mut self, ms: u64, id: &str, outcome: ReportedOutcome) -> &mut Self {
-        self.at(ms, ObservedEvent::Answered { id: id.to_owned(), gateway: 0, outcome })
+        self.at(ms, ObservedEvent::OutcomeReceived { id: id.to_owned(), gateway: 0, outcome })
     }
 
     fn report(&self) -> InvariantReport {
@@ -121,7 +121,9 @@
 #[test]
 fn missing_or_late_outcome_is_a_violation() {
     let mut silent = good();
-    silent.lines.retain(|line| !matches!(&line.event, ObservedEvent::Answered { id, .. } if id == "n1"));
+    silent
+        .lines
+        .retain(|line| !matches!(&line.event, ObservedEvent::OutcomeReceived { id, .. } if id == "n1"));
     assert_eq!(silent.violated(), ["lost"]);
     let mut late = good();
     late.submit(2000, "q", "pay").answer(7400, "q", ReportedOutcome::Rejected);
--- a/crates/testbench/tests/socket_scenarios.rs
+++ b/crates/testbench/tests/socket_scenarios.rs
@@ -120,7 +120,7 @@
             })
             .collect();
         for line in &played.lines {
-            if let ObservedEvent::Answered { id, outcome, .. } = &line.event {
+            if let ObservedEvent::OutcomeReceived { id, outcome, .. } = &line.event {
                 if to_bank.contains(&id.as_str()) {
                     assert_eq!(*outcome == ReportedOutcome::Delivered, delivered, "{kind}: {id} {outcome:?}");
                 }
@@ -226,7 +226,7 @@
         .lines
         .iter()
         .filter_map(|line| match &line.event {
-            ObservedEvent::Answered { id, .. } => Some((id.as_str(), line.at)),
+            ObservedEvent::OutcomeReceived { id, .. } => Some((id.as_str(), line.at)),
             _ => None,
         })
         .collect();
