--- a/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
@@ -34,7 +34,7 @@
 
 impl ExperimentCommand {
     /// Plays the experiment; true if the planner violated no invariant.
-    pub fn play(&self) -> Result<bool, String> {
+    pub fn run(&self) -> Result<bool, String> {
         let name = self.file.display();
         let text = std::fs::read_to_string(&self.file).map_err(|error| format!("{name}: {error}"))?;
         let experiment = Experiment::parse(&text).map_err(|error| format!("{name}: {error}"))?;
@@ -56,7 +56,8 @@
                 print_table(&record, &scenario.name, experiment.seeds);
             }
         }
-        let mut violations = record.runs.text("policy").iter().zip(record.runs.number("broken"));
+        let mut violations =
+            record.runs.text_column("policy").iter().zip(record.runs.number_column("broken"));
         Ok(violations.all(|(policy, count)| policy != SpilloverPolicy::Planner.name() || *count == 0.0))
     }
 
--- a/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
@@ -7,7 +7,7 @@
     read_load_balance_scenario, simulate_load_balance, ClientPolicy, EndpointSelection, Limiter,
     LoadBalanceRun, LoadBalanceScenario, LOAD_BALANCE_SCENARIOS,
 };
-use cloverstile_testbench::fleet::play_fleet;
+use cloverstile_testbench::fleet::run_fleet;
 use cloverstile_testbench::load_report::LoadReport;
 use comfy_table::{presets::UTF8_BORDERS_ONLY, Table};
 use std::collections::BTreeMap;
@@ -78,9 +78,9 @@
 
 impl FleetCommand {
     /// Plays it; true if the policy violated no invariant.
-    pub fn play(&self) -> Result<bool, String> {
+    pub fn run(&self) -> Result<bool, String> {
         match self {
-            FleetCommand::Spread(command) => command.play(),
+            FleetCommand::Spread(command) => command.run(),
         }
     }
 }
@@ -135,7 +135,7 @@
         })
     }
 
-    fn play(&self) -> Result<bool, String> {
+    fn run(&self) -> Result<bool, String> {
         let scenario = self.load_scenario()?;
         let mut deciders = Vec::new();
         for name in &self.deciders {
@@ -149,7 +149,7 @@
         table.load_preset(UTF8_BORDERS_ONLY);
         table.set_header(HEADINGS);
         for decider in deciders {
-            let reports = self.play_seeds(&scenario, decider)?;
+            let reports = self.run_seeds(&scenario, decider)?;
             let mean = LoadReport::mean(&reports);
             clean &= decider != ClientPolicy::Delivery || mean.violations == 0;
             if self.json {
@@ -164,7 +164,7 @@
     }
 
     /// Plays all seeds of one decider and prints what is wanted of each.
-    fn play_seeds(
+    fn run_seeds(
         &self,
         scenario: &LoadBalanceScenario,
         decider: ClientPolicy,
@@ -175,7 +175,7 @@
             let run = if self.simulate {
                 simulate_load_balance(scenario, decider, seed)
             } else {
-                play_fleet(scenario, &self.program()?, seed).map_err(|error| error.to_string())?
+                run_fleet(scenario, &self.program()?, seed).map_err(|error| error.to_string())?
             };
             let report = LoadReport::new(scenario, &run, seed, began.elapsed());
             if self.partners {
--- a/crates/testbench/src/bin/cloverstile-testbench/main.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/main.rs
@@ -74,9 +74,9 @@
     let result = match Arguments::parse().command {
         Command::Scenario(command) => command.play(),
         Command::Replay(command) => command.play(),
-        Command::Simulate(command) => command.play(),
-        Command::Experiment(command) => command.play(),
-        Command::Fleet(command) => command.play(),
+        Command::Simulate(command) => command.run(),
+        Command::Experiment(command) => command.run(),
+        Command::Fleet(command) => command.run(),
         Command::Soak(command) => command.play(Profile::Soak),
         Command::MachineFaults(command) => command.play(Profile::MachineFaults),
         Command::Report(command) => command.write(),
--- a/crates/testbench/src/bin/cloverstile-testbench/scale.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scale.rs
@@ -111,6 +111,6 @@
             ("us_a_turn", self.us_per_turn),
             ("memory_mib", self.peak_memory_mib),
         ];
-        columns.push(&[], &numbers);
+        columns.push_row(&[], &numbers);
     }
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
@@ -80,7 +80,7 @@
 
 impl Simulation {
     /// Plays all runs; true if no run of the planner violated an invariant.
-    pub fn play(&self) -> Result<bool, String> {
+    pub fn run(&self) -> Result<bool, String> {
         let mut scenario = load_scenario(&self.scenario)?;
         scenario.instances = self.gateways.unwrap_or(scenario.instances).max(1);
         let policies =
@@ -164,12 +164,12 @@
             run.policy.name().to_owned(),
             run.seed.to_string(),
             format!("{:.3}", metrics.value_ratio),
-            format!("{:.3}", metrics.worst_ten_s),
-            metrics.full_service_s.map_or("-".into(), |seconds| format!("{seconds:.1}")),
+            format!("{:.3}", metrics.worst_value_ratio),
+            metrics.time_to_full_service_s.map_or("-".into(), |seconds| format!("{seconds:.1}")),
             format!("{}/{}", metrics.windows_over_bound, metrics.windows),
-            format!("{:.2}", metrics.worst_of_bound),
-            format!("{:.2}", metrics.worst_of_capacity),
-            format!("{:.2}", metrics.worst_spill),
+            format!("{:.2}", metrics.peak_bound_ratio),
+            format!("{:.2}", metrics.peak_capacity_ratio),
+            format!("{:.2}", metrics.peak_spill_ratio),
             format!("{:.2}", metrics.spill_excess),
             metrics.spilled.to_string(),
             format!("{:?}", metrics.violations_by_kind),
--- a/crates/testbench/src/experiment/record.rs
+++ b/crates/testbench/src/experiment/record.rs
@@ -57,20 +57,20 @@
 
 fn record_metrics(table: &mut Table, key: &RunKey, scenario: &FailoverScenario, run: &FailoverRun) {
     let metrics = SimulationMetrics::new(scenario, run);
-    table.push(
+    table.push_row(
         &key.texts,
         &[
             key.seed,
             ("messages", metrics.messages as f64),
-            ("delivered", metrics.delivered),
+            ("delivered", metrics.delivered_share),
             ("worth", metrics.value_ratio),
-            ("worst_ten_s", metrics.worst_ten_s),
-            ("full_service_s", metrics.full_service_s.unwrap_or(f64::NAN)),
+            ("worst_ten_s", metrics.worst_value_ratio),
+            ("full_service_s", metrics.time_to_full_service_s.unwrap_or(f64::NAN)),
             ("windows", metrics.windows as f64),
             ("windows_over_bound", metrics.windows_over_bound as f64),
-            ("worst_of_bound", metrics.worst_of_bound),
-            ("worst_of_capacity", metrics.worst_of_capacity),
-            ("worst_spill", metrics.worst_spill),
+            ("worst_of_bound", metrics.peak_bound_ratio),
+            ("worst_of_capacity", metrics.peak_capacity_ratio),
+            ("worst_spill", metrics.peak_spill_ratio),
             ("spilt", metrics.spilled as f64),
             ("broken", metrics.violations as f64),
         ],
@@ -81,7 +81,7 @@
     let values = value_by_second(scenario, run);
     for (number, (value, second)) in values.iter().zip(&run.seconds).enumerate() {
         let spill_share = f64::from(second.spilled) / f64::from(second.multi_tier.max(1));
-        table.push(
+        table.push_row(
             &key.texts,
             &[
                 key.seed,
@@ -113,7 +113,7 @@
         load.received += received;
     }
     for (after_ms, load) in windows {
-        table.push(
+        table.push_row(
             &key.texts,
             &[
                 key.seed,
@@ -138,7 +138,7 @@
         }
         ages.sort_by(f64::total_cmp);
         let late = ages.iter().filter(|age| **age > class.latency_objective).count() as f64;
-        table.push(
+        table.push_row(
             &[key.texts[0], key.texts[1], ("class", name)],
             &[
                 key.seed,
--- a/crates/testbench/src/experiment/statistics.rs
+++ b/crates/testbench/src/experiment/statistics.rs
@@ -13,7 +13,8 @@
     /// The mean.
     pub mean: f64,
     /// Half of the interval's width; zero for a single value.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub half_width: f64,
     /// Number of values.
     pub count: usize,
 }
@@ -24,19 +25,19 @@
     let count = values.len();
     let mean = values.iter().sum::<f64>() / count.max(1) as f64;
     let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
-    let half = match (count, StudentsT::new(0.0, 1.0, count.saturating_sub(1).max(1) as f64)) {
+    let half_width = match (count, StudentsT::new(0.0, 1.0, count.saturating_sub(1).max(1) as f64)) {
         (0 | 1, _) | (_, Err(_)) => 0.0,
         (_, Ok(distribution)) => {
             distribution.inverse_cdf(UPPER_QUANTILE) * (squares / (count - 1) as f64 / count as f64).sqrt()
         }
     };
-    ConfidenceInterval { mean, half, count }
+    ConfidenceInterval { mean, half_width, count }
 }
 
 /// Values of a column of the runs of one scenario and policy, in the order of seeds.
 pub fn column_values(runs: &Table, scenario: &str, policy: &str, column: &str) -> Vec<f64> {
-    let of_run = runs.text("scenario").iter().zip(runs.text("policy"));
-    let rows = of_run.zip(runs.number(column));
+    let of_run = runs.text_column("scenario").iter().zip(runs.text_column("policy"));
+    let rows = of_run.zip(runs.number_column(column));
     rows.filter(|((of_scenario, of_policy), _)| *of_scenario == scenario && *of_policy == policy)
         .map(|(_, value)| *value)
         .collect()
--- a/crates/testbench/src/experiment/tests.rs
+++ b/crates/testbench/src/experiment/tests.rs
@@ -10,8 +10,8 @@
     // Five values, mean 3, deviation sqrt(2.5): t of four degrees is 2.776.
     let interval = confidence_interval([1.0, 2.0, 3.0, 4.0, 5.0, f64::NAN].into_iter());
     assert_eq!((interval.mean, interval.count), (3.0, 5));
-    assert!((interval.half - 2.776 * (2.5_f64 / 5.0).sqrt()).abs() < 1e-3, "{interval:?}");
-    let single = ConfidenceInterval { mean: 7.0, half: 0.0, count: 1 };
+    assert!((interval.half_width - 2.776 * (2.5_f64 / 5.0).sqrt()).abs() < 1e-3, "{interval:?}");
+    let single = ConfidenceInterval { mean: 7.0, half_width: 0.0, count: 1 };
     assert_eq!(confidence_interval([7.0].into_iter()), single);
 }
 
@@ -24,7 +24,7 @@
     let scenarios = [NamedScenario { name: "surge".to_owned(), scenario }];
     let played = |threads| run_experiment(&scenarios, &SpilloverPolicy::ALL, 2, threads, &|_, _| {});
     let (one, many) = (played(1), played(3));
-    assert_eq!(one.runs.rows(), 8);
+    assert_eq!(one.runs.row_count(), 8);
     assert_eq!(format!("{one:?}"), format!("{many:?}"));
     let error = |text: &str| Experiment::parse(text).unwrap_err().to_string();
     assert!(error("seeds = 0\nscenario \"surge\" {}").contains("above zero"));
--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -20,4 +20,4 @@
 mod timers;
 
 pub use error::FleetError;
-pub use harness::play_fleet;
+pub use harness::run_fleet;
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Sockets, files or processes fail, a gateway exits by itself, or the run is interrupted.
-pub fn play_fleet(
+pub fn run_fleet(
     scenario: &LoadBalanceScenario,
     program: &Path,
     seed: u64,
--- a/crates/testbench/src/html_report.rs
+++ b/crates/testbench/src/html_report.rs
@@ -69,7 +69,7 @@
 pub fn write_report(folder: &Path) -> Result<String, ReportError> {
     let tables = Tables::read(folder)?;
     let mut page = String::from(PAGE_HEAD);
-    let scenarios: BTreeSet<&String> = tables.runs.text("scenario").iter().collect();
+    let scenarios: BTreeSet<&String> = tables.runs.text_column("scenario").iter().collect();
     for scenario in scenarios {
         write_scenario(&mut page, folder, &tables, scenario)?;
     }
@@ -93,7 +93,7 @@
     tables: &Tables,
     scenario: &str,
 ) -> Result<(), ReportError> {
-    let seeds: BTreeSet<u64> = tables.runs.number("seed").iter().map(|seed| *seed as u64).collect();
+    let seeds: BTreeSet<u64> = tables.runs.number_column("seed").iter().map(|seed| *seed as u64).collect();
     let _ = write!(page, "<h2>{scenario}</h2>\n<p>{} seeds.</p>\n", seeds.len());
     page.push_str(&html_table(&headings(), &rows(&tables.runs, scenario)));
     for (name, plot) in scenario_plots(tables, scenario) {
@@ -168,7 +168,8 @@
 
 fn scale_plot(scale: &Table) -> Plot<'static> {
     let column = "us_a_turn";
-    let points = scale.number("endpoints").iter().copied().zip(scale.number(column).iter().copied());
+    let points =
+        scale.number_column("endpoints").iter().copied().zip(scale.number_column(column).iter().copied());
     Plot {
         title: "Cost of a decision as endpoints grow",
         x_label: "endpoints",
--- a/crates/testbench/src/html_report/figures.rs
+++ b/crates/testbench/src/html_report/figures.rs
@@ -44,14 +44,14 @@
 fn cell(interval: ConfidenceInterval, digits: usize) -> String {
     match interval.count {
         0 => "-".into(),
-        _ => format!("{:.digits$} ± {:.digits$}", interval.mean, interval.half),
+        _ => format!("{:.digits$} ± {:.digits$}", interval.mean, interval.half_width),
     }
 }
 
 /// The figures of a scenario as rows: policy, mean and interval of each figure, and the lead of the policy `planner`
 /// over each other on the worst ten seconds, seed by seed.
 pub fn rows(runs: &Table, scenario: &str) -> Vec<Vec<String>> {
-    let policies: BTreeSet<&String> = runs.text("policy").iter().collect();
+    let policies: BTreeSet<&String> = runs.text_column("policy").iter().collect();
     let own = column_values(runs, scenario, OWN_POLICY, LEAD_COLUMN);
     let row = |policy: &String| {
         let mut row = vec![policy.clone()];
@@ -77,10 +77,11 @@
 /// The figures of a scenario's classes as rows, under [`CLASS_HEADINGS`].
 pub(super) fn class_rows(classes: &Table, scenario: &str) -> Vec<Vec<String>> {
     let mut values: BTreeMap<(&str, &str), [Vec<f64>; 4]> = BTreeMap::new();
-    let columns = CLASS_COLUMNS.map(|name| classes.number(name));
-    for row in 0..classes.rows() {
-        if classes.text("scenario").get(row).is_some_and(|of| of == scenario) {
-            let key = (classes.text("class")[row].as_str(), classes.text("policy")[row].as_str());
+    let columns = CLASS_COLUMNS.map(|name| classes.number_column(name));
+    for row in 0..classes.row_count() {
+        if classes.text_column("scenario").get(row).is_some_and(|of| of == scenario) {
+            let key =
+                (classes.text_column("class")[row].as_str(), classes.text_column("policy")[row].as_str());
             for (values, column) in values.entry(key).or_default().iter_mut().zip(columns) {
                 values.extend(column.get(row));
             }
--- a/crates/testbench/src/html_report/plot.rs
+++ b/crates/testbench/src/html_report/plot.rs
@@ -159,8 +159,10 @@
     join: fn(&[f64]) -> f64,
 ) -> Vec<Line> {
     let mut values: BTreeMap<&str, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
-    let runs = table.text("scenario").iter().zip(table.text("policy"));
-    for ((of, policy), (x, y)) in runs.zip(table.number(x_column).iter().zip(table.number(y_column))) {
+    let runs = table.text_column("scenario").iter().zip(table.text_column("policy"));
+    for ((of, policy), (x, y)) in
+        runs.zip(table.number_column(x_column).iter().zip(table.number_column(y_column)))
+    {
         if of == scenario {
             let at_x = values.entry(policy).or_default().entry((*x * X_RESOLUTION) as u64).or_default();
             at_x.push(*y);
--- a/crates/testbench/src/simulation_metrics.rs
+++ b/crates/testbench/src/simulation_metrics.rs
@@ -22,25 +22,31 @@
     /// Messages submitted.
     pub messages: usize,
     /// Share of them that was delivered.
-    pub delivered: f64,
+    #[serde(rename = "delivered")]
+    pub delivered_share: f64,
     /// Value earned, as a share of what all messages in time would have earned.
     #[serde(rename = "worth")]
     pub value_ratio: f64,
     /// The same of the messages submitted during the worst ten seconds in a row.
-    pub worst_ten_s: f64,
+    #[serde(rename = "worst_ten_s")]
+    pub worst_value_ratio: f64,
     /// From the last return of a site until full service, in seconds; none where there was no return or it never came.
-    pub full_service_s: Option<f64>,
+    #[serde(rename = "full_service_s")]
+    pub time_to_full_service_s: Option<f64>,
     /// Windows of 100 ms at recovering sites.
     pub windows: usize,
     /// ... that got more than the site survives.
     pub windows_over_bound: usize,
     /// Most that a window got, as a share of what the site survives.
-    pub worst_of_bound: f64,
+    #[serde(rename = "worst_of_bound")]
+    pub peak_bound_ratio: f64,
     /// Most that a window got, as a share of what the site can serve.
-    pub worst_of_capacity: f64,
+    #[serde(rename = "worst_of_capacity")]
+    pub peak_capacity_ratio: f64,
     /// Most that spilled in a second, as a share of what was permitted: the spill share of the messages that were
     /// submitted then or waited for the destination.
-    pub worst_spill: f64,
+    #[serde(rename = "worst_spill")]
+    pub peak_spill_ratio: f64,
     /// Most by which what a gateway spilled was above its share of what it had accepted for a destination since the
     /// first fault, in messages. A message can't be split, so that one is allowed.
     pub spill_excess: f64,
@@ -127,15 +133,15 @@
         let audit = &run.violations;
         SimulationMetrics {
             messages: run.messages.len(),
-            delivered: delivered as f64 / run.messages.len().max(1) as f64,
+            delivered_share: delivered as f64 / run.messages.len().max(1) as f64,
             value_ratio: ratio(&seconds),
-            worst_ten_s: seconds.windows(WORST_SECONDS).map(ratio).fold(1.0, f64::min),
-            full_service_s: last_return.and_then(|since| time_to_full_service(&seconds, since)),
+            worst_value_ratio: seconds.windows(WORST_SECONDS).map(ratio).fold(1.0, f64::min),
+            time_to_full_service_s: last_return.and_then(|since| time_to_full_service(&seconds, since)),
             windows: run.windows.len(),
             windows_over_bound: run.windows.iter().filter(is_over_bound).count(),
-            worst_of_bound: most(|window| f64::from(window.received) / window.collapse_bound.max(1.0)),
-            worst_of_capacity: most(|window| f64::from(window.received) / window.capacity.max(1.0)),
-            worst_spill: worst_spill(scenario, run),
+            peak_bound_ratio: most(|window| f64::from(window.received) / window.collapse_bound.max(1.0)),
+            peak_capacity_ratio: most(|window| f64::from(window.received) / window.capacity.max(1.0)),
+            peak_spill_ratio: peak_spill_ratio(scenario, run),
             spill_excess: spill_excess(scenario, run),
             spilled: run.seconds.iter().map(|second| u64::from(second.spilled)).sum(),
             violations: audit.total(),
@@ -173,7 +179,7 @@
 }
 
 /// Spill of each second against the share of what was wanted then, over all destinations that spilled at all.
-fn worst_spill(scenario: &FailoverScenario, run: &FailoverRun) -> f64 {
+fn peak_spill_ratio(scenario: &FailoverScenario, run: &FailoverRun) -> f64 {
     let shares = spill_shares(scenario);
     let spilling: BTreeSet<u32> = run
         .messages
--- a/crates/testbench/src/table.rs
+++ b/crates/testbench/src/table.rs
@@ -31,7 +31,7 @@
 
 impl Table {
     /// Adds a row; each row names the same columns.
-    pub fn push(&mut self, texts: &[(&str, &str)], numbers: &[(&str, f64)]) {
+    pub fn push_row(&mut self, texts: &[(&str, &str)], numbers: &[(&str, f64)]) {
         for (name, text) in texts {
             self.texts.entry((*name).to_owned()).or_default().push((*text).to_owned());
         }
@@ -51,17 +51,17 @@
     }
 
     /// Number of rows.
-    pub fn rows(&self) -> usize {
+    pub fn row_count(&self) -> usize {
         self.texts.values().map(Vec::len).chain(self.numbers.values().map(Vec::len)).max().unwrap_or(0)
     }
 
     /// A column of texts; empty if there is none of that name.
-    pub fn text(&self, name: &str) -> &[String] {
+    pub fn text_column(&self, name: &str) -> &[String] {
         self.texts.get(name).map_or(&[], Vec::as_slice)
     }
 
     /// A column of numbers; empty if there is none of that name.
-    pub fn number(&self, name: &str) -> &[f64] {
+    pub fn number_column(&self, name: &str) -> &[f64] {
         self.numbers.get(name).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/testbench/src/table/tests.rs
+++ b/crates/testbench/src/table/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn table_read_back_equals_the_table_written() {
     let mut table = Table::default();
-    table.push(&[("policy", "planner")], &[("worth", 0.5), ("seed", 1.0)]);
-    table.push(&[("policy", "stays")], &[("worth", 0.25), ("seed", 2.0)]);
+    table.push_row(&[("policy", "planner")], &[("worth", 0.5), ("seed", 1.0)]);
+    table.push_row(&[("policy", "stays")], &[("worth", 0.25), ("seed", 2.0)]);
     let file = std::env::temp_dir().join(format!("cloverstile-table-{}.parquet", std::process::id()));
     table.write(&file).unwrap();
     let first = std::fs::read(&file).unwrap();
--- a/crates/testbench/tests/fleet.rs
+++ b/crates/testbench/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! passed on the sockets of the load harness.
 
 use cloverstile_simulator::{read_load_balance_scenario, LoadBalanceScenario};
-use cloverstile_testbench::fleet::play_fleet;
+use cloverstile_testbench::fleet::run_fleet;
 use cloverstile_testbench::load_report::LoadReport;
 use std::path::Path;
 use std::time::Duration;
@@ -65,7 +65,7 @@
           size    = 0.3
         }"#;
     let scenario = scenario(4.0, 100.0, faults);
-    let run = play_fleet(&scenario, Path::new(PROGRAM), 1).expect("it can be played");
+    let run = run_fleet(&scenario, Path::new(PROGRAM), 1).expect("it can be played");
     assert_eq!(run.violations.total(), 0, "{:?}", run.violations);
     let report = LoadReport::new(&scenario, &run, 1, Duration::ZERO);
     assert_eq!(report.answered, report.messages);
@@ -89,7 +89,7 @@
           size  = 2.6
         }"#;
     let scenario = scenario(4.0, 100.0, burst);
-    let run = play_fleet(&scenario, Path::new(PROGRAM), 2).expect("it can be played");
+    let run = run_fleet(&scenario, Path::new(PROGRAM), 2).expect("it can be played");
     assert_eq!(run.violations.total(), 0, "{:?}", run.violations);
     let report = LoadReport::new(&scenario, &run, 2, Duration::ZERO);
     assert!(run.record.waiting_intervals.len() > 30, "nobody waited: not the case that is tested");
@@ -99,7 +99,7 @@
 
 #[test]
 fn program_that_is_not_a_gateway_is_named_in_the_error() {
-    let error = play_fleet(&scenario(1.0, 10.0, ""), Path::new("/nowhere/cloverstile"), 3).err();
+    let error = run_fleet(&scenario(1.0, 10.0, ""), Path::new("/nowhere/cloverstile"), 3).err();
     let error = error.expect("it can't be played").to_string();
     assert!(error.contains("/nowhere/cloverstile node"), "{error}");
 }
--- a/crates/testbench/tests/simulated_zone_loss.rs
+++ b/crates/testbench/tests/simulated_zone_loss.rs
@@ -20,7 +20,7 @@
     assert_eq!(metrics.violations, 0, "{:?}", run.violations);
     assert_eq!(metrics.windows_over_bound, 0, "{metrics:?}");
     // A share of the demand; a whole message cannot be split.
-    assert!(metrics.worst_spill <= 1.05, "{metrics:?}");
+    assert!(metrics.peak_spill_ratio <= 1.05, "{metrics:?}");
     assert!(metrics.spill_excess <= 2.0, "{metrics:?}");
     metrics
 }
@@ -48,7 +48,7 @@
 fn second_tier_that_fails_while_it_carries_the_spillover() {
     let south = "trouble \"south too\" {\n kind = \"reset\"\n tier = 1\n at = 8\n lasts = 2\n}\n";
     let metrics = surge(8, 150.0, &format!("{GONE}{south}"));
-    assert!(metrics.delivered > 0.5, "{metrics:?}");
+    assert!(metrics.delivered_share > 0.5, "{metrics:?}");
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let slow = "trouble \"slow\" {\n kind = \"slow\"\n size = 3\n at = 6\n lasts = 5\n}\n\
                 trouble \"told\" {\n kind = \"drain\"\n endpoints = 4\n at = 7\n lasts = 3\n}\n";
     let metrics = surge(8, 60.0, slow);
-    assert!(metrics.spilled == 0 && metrics.delivered > 0.99, "{metrics:?}");
+    assert!(metrics.spilled == 0 && metrics.delivered_share > 0.99, "{metrics:?}");
 }
 
 #[test]
