--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -1,12 +1,12 @@
-//! A client program on sockets: submits messages over AS2 by a plan, waits for each final outcome, and submits
-//! again where that is safe.
+//! A fake client program: submits planned messages to the gateways over AS2, waits for the final outcome of each, and
+//! resubmits where that is safe.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `messages` | the plan, what is due when, and the order within a key |
-//! | `gateways` | addresses of the gateways and the choice of one |
+//! | `messages` | planned messages, due times, and the order within an order key |
+//! | `gateways` | addresses of the gateways and the selection of one |
 //! | `connections` | sockets and HTTP framing |
-//! | `exchange` | the bytes of a submission and the outcome in its response |
+//! | `exchange` | encoding of submissions and decoding of outcomes |
 
 mod connections;
 mod exchange;
@@ -26,29 +26,30 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The longest wait for socket events, so that a stop and a gateway's death are noticed.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time until a gateway is looked for again, where none runs.
+/// Maximum wait for socket events; bounds the time until a request to stop or a stopped gateway is noticed.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
+/// Delay before selecting a gateway again when none is running.
 const NO_GATEWAY_DELAY: Duration = Duration::from_millis(50);
-/// Time until the resubmission, where the client drops its own connection.
+/// Delay before resubmitting a message whose connection the client itself drops.
 const DISCONNECT_DELAY: Duration = Duration::from_millis(30);
-/// Time until the resubmission, where a gateway that still runs closed the connection.
+/// Delay before resubmitting after a connection to a gateway that is still running was lost.
 const CLOSED_BY_RUNNING_DELAY: Duration = Duration::from_millis(20);
-/// Time until the resubmission, where the gateway stopped.
+/// Delay before resubmitting after a connection was lost because the gateway stopped.
 const CLOSED_BY_STOPPED_DELAY: Duration = Duration::from_millis(100);
 
-/// How a client behaves.
+/// Configuration of a client's protocol options, resubmissions and timeouts.
 #[derive(Clone, Debug)]
 pub struct ClientBehaviour {
-    /// Protection of its messages.
+    /// Signing and encryption of messages, and the receipts requested for them.
     pub security: Security,
-    /// Receipts come on connections of their own.
+    /// Whether gateways deliver receipts later, on separate connections to the client.
     pub deferred_receipts: bool,
-    /// How often a rejected message is submitted again.
+    /// Maximum number of resubmissions of a rejected message; messages with an order key are not resubmitted.
     pub max_resubmissions: u32,
-    /// Time until a resubmission, where the response has no `Retry-After`.
+    /// Delay before a resubmission if the response has no `Retry-After`, the gateway did not accept the message, or a
+    /// gateway that owed a deferred receipt stopped.
     pub retry_delay: Duration,
-    /// How long after its deadline a message's outcome is waited for.
+    /// How long after a message's deadline the client stops waiting for its outcome.
     pub outcome_timeout: Duration,
 }
 
@@ -65,16 +66,16 @@
     }
 }
 
-/// How far a client has come; shared with other threads.
+/// Progress of a client and a flag to stop it; shared with other threads.
 #[derive(Default)]
 pub struct Progress {
-    /// Messages with their final outcome, or waited for no longer.
+    /// Number of messages that have their final outcome or were given up on by the client.
     pub completed: AtomicUsize,
-    /// Ends the run when set.
+    /// Makes [`Client::run`] return when set.
     pub stop: AtomicBool,
 }
 
-/// One client.
+/// A client that submits its planned messages from a single thread.
 pub struct Client<'a> {
     identity: &'a Identity,
     behaviour: ClientBehaviour,
@@ -84,12 +85,12 @@
     connections: Connections,
     messages: MessageTable,
     selector: GatewaySelector,
-    /// URL for deferred receipts.
+    /// URL to which gateways deliver deferred receipts; `None` if receipts are part of the response.
     receipt_url: Option<String>,
 }
 
 impl<'a> Client<'a> {
-    /// A client with its plan.
+    /// Creates a client that will submit the messages of `plan`.
     ///
     /// # Errors
     ///
@@ -121,7 +122,7 @@
         })
     }
 
-    /// Submits all messages of the plan; returns once each has its outcome or is waited for no longer.
+    /// Submits all planned messages. Returns once each has its final outcome or timed out, or when asked to stop.
     ///
     /// # Errors
     ///
@@ -130,7 +131,7 @@
         while self.messages.has_unfinished() && !self.progress.stop.load(Ordering::Relaxed) {
             let now = self.recorder.now();
             let next = self.messages.next_time().map(|at| at.saturating_sub(now));
-            let timeout = next.unwrap_or(POLL_INTERVAL).min(POLL_INTERVAL);
+            let timeout = next.unwrap_or(MAX_POLL_WAIT).min(MAX_POLL_WAIT);
             for event in self.connections.poll(timeout)? {
                 for event in self.connections.on_event(event, self.recorder.now()) {
                     self.on_event(event);
@@ -139,7 +140,7 @@
             self.resubmit_after_gateway_stops();
             let now = self.recorder.now();
             while let Some(index) = self.messages.pop_due(now) {
-                self.begin(index);
+                self.submit_in_key_order(index);
             }
             while let Some(index) = self.messages.pop_timed_out(now) {
                 if !self.messages.get(index).finished {
@@ -165,53 +166,56 @@
         }
     }
 
-    /// Submits again what waits for a deferred receipt of a gateway that stopped: no connection tells of its death.
+    /// Resubmits messages that wait for a deferred receipt from a gateway that stopped. They have no open connection
+    /// that would report the loss.
     fn resubmit_after_gateway_stops(&mut self) {
         for gateway in self.selector.newly_stopped(self.gateways) {
             let awaited = self.connections.awaited_messages();
             let mut lost = self.messages.waiting_for(gateway);
             lost.retain(|index| !awaited.contains(index));
             for index in lost {
-                self.record_loss(index, gateway);
+                self.record_connection_loss(index, gateway);
                 self.messages.get_mut(index).after_loss = true;
                 self.messages.schedule(self.recorder.now() + self.behaviour.retry_delay, index);
             }
         }
     }
 
-    fn record_loss(&self, index: MessageIndex, gateway: usize) {
+    fn record_connection_loss(&self, index: MessageIndex, gateway: usize) {
         let id = self.messages.get(index).planned.id.clone();
         self.recorder.record(ObservedEvent::ConnectionLost { id, gateway });
     }
 
-    /// Submits a message now, or leaves it behind the one before of the same key.
-    fn begin(&mut self, index: MessageIndex) {
+    /// Submits a message, unless it has to wait for an earlier message with the same order key.
+    fn submit_in_key_order(&mut self, index: MessageIndex) {
         if !self.messages.get(index).finished && self.messages.join_key_queue(index) {
             self.submit(index);
         }
     }
 
-    /// Submits the next message of the key, if this one held it up.
-    fn release_next(&mut self, index: MessageIndex) {
+    /// Submits the next message with the same order key, if it was waiting for this one.
+    fn submit_next_of_key(&mut self, index: MessageIndex) {
         if let Some(next) = self.messages.leave_key_queue(index) {
             self.submit(next);
         }
     }
 
+    /// Marks a message as finished and submits the one that was waiting for it.
     fn finish(&mut self, index: MessageIndex) {
         if self.messages.mark_finished(index) {
             self.progress.completed.fetch_add(1, Ordering::Relaxed);
         }
-        self.release_next(index);
+        self.submit_next_of_key(index);
     }
 
-    /// A running gateway; messages of one key stay with theirs while it runs.
+    /// Selects a running gateway. Messages with the same order key go to the same gateway while it runs.
     fn select_gateway(&self, index: MessageIndex) -> Option<usize> {
         let message = self.messages.get(index);
         let hash = message.planned.key.as_deref().map_or(index.position(), key_hash);
         self.selector.select(self.gateways, self.recorder.now(), message.gateway, hash)
     }
 
+    /// Submits a message to a gateway, or schedules another try if none is running.
     fn submit(&mut self, index: MessageIndex) {
         let now = self.recorder.now();
         let Some(gateway) = self.select_gateway(index) else {
@@ -222,7 +226,8 @@
             return;
         }
         if message.gateway != Some(gateway) {
-            // A message is composed for one gateway, and another gateway does not know what the previous one did with it.
+            // The message was composed for the previous gateway, and the new one does not know whether that one
+            // accepted it.
             message.composed = None;
             message.after_loss |= message.possibly_accepted;
         }
@@ -252,12 +257,12 @@
         let disconnects = message.disconnects_now();
         self.connections.submit(gateway, address, index, bytes);
         if disconnects {
-            // Submits again at once, on another connection: the gateway may or may not have accepted it.
+            // Resubmits on another connection without waiting: the gateway may or may not have accepted the message.
             self.messages.schedule(now + DISCONNECT_DELAY, index);
         }
     }
 
-    /// Composes a message for its gateway, unless that was done for an earlier submission.
+    /// Composes a message for its gateway, unless an earlier submission to it already did.
     fn compose(&mut self, index: MessageIndex, gateway: usize) {
         if self.messages.get(index).composed.is_some() {
             return;
@@ -274,12 +279,12 @@
         message.composed = exchange::compose_message(message, self.identity, recipient, &security);
     }
 
-    /// A connection ended before its response came. `sent`: the gateway may have the message.
+    /// Handles a connection that ended before its response. `sent`: the gateway may have received the message.
     fn on_lost(&mut self, gateway: usize, index: MessageIndex, sent: bool) {
         if self.messages.get(index).finished {
             return;
         }
-        self.record_loss(index, gateway);
+        self.record_connection_loss(index, gateway);
         let is_running = self.gateways.is_running(gateway);
         if !sent {
             self.selector.avoid(gateway, self.recorder.now());
@@ -287,7 +292,7 @@
         let message = self.messages.get_mut(index);
         message.possibly_accepted |= sent;
         if sent && !is_running {
-            // What the gateway did with it was lost with its process.
+            // Whether the gateway accepted the message was lost with its process.
             message.after_loss = true;
         }
         let delay = if is_running { CLOSED_BY_RUNNING_DELAY } else { CLOSED_BY_STOPPED_DELAY };
@@ -300,13 +305,13 @@
             let id = self.messages.get(index).planned.id.clone();
             self.recorder.record(ObservedEvent::Accepted { id, gateway });
             self.messages.get_mut(index).possibly_accepted = true;
-            return self.release_next(index);
+            return self.submit_next_of_key(index);
         }
         let outcome = self.read_outcome(index, gateway, response);
         self.on_outcome(index, gateway, outcome, response);
     }
 
-    /// A deferred receipt came.
+    /// Handles a deferred receipt. Ignores it if its sender or its message is unknown, or if it can't be verified.
     fn on_receipt(&mut self, message: &Message) {
         let sender = message.headers.get("as2-from").map(cloverstile_as2::unquote_name).unwrap_or_default();
         let Some(gateway) = self.gateways.names.iter().position(|name| *name == sender) else { return };
@@ -315,7 +320,7 @@
         let Some(index) = self.messages.index_of(&receipt.original_id) else { return };
         let outcome = self.read_outcome(index, gateway, message);
         if self.messages.get(index).finished {
-            // A repeated receipt is recorded too: it may report another outcome.
+            // Repeated receipts are recorded too, as they may report a different outcome.
             let id = receipt.original_id;
             return self.recorder.record(ObservedEvent::OutcomeReceived { id, gateway, outcome });
         }
--- a/crates/fakes/src/client/connections.rs
+++ b/crates/fakes/src/client/connections.rs
@@ -1,4 +1,4 @@
-//! A client's connections: those on which it submits messages, and those on which deferred receipts come in.
+//! Connections of a client: outgoing ones for submissions, and incoming ones for deferred receipts.
 
 use super::messages::MessageIndex;
 use cloverstile_http::{encode_response, DecodedItem, Decoder, Headers, Limits, Message};
@@ -8,44 +8,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Something that a client has to act on.
+/// An event on a connection that the client has to handle.
 pub(super) enum ConnectionEvent {
-    /// A submission has left whole.
+    /// All bytes of a submission were written to the socket.
     Flushed { connection: ConnId, message: MessageIndex },
-    /// A connection ended before its response came.
+    /// A connection ended before its response.
     Lost {
         gateway: usize,
         message: MessageIndex,
-        /// The gateway may have the message.
+        /// Whether the gateway may have received the message.
         sent: bool,
     },
-    /// A response came.
+    /// A gateway responded.
     Response {
         gateway: usize,
-        /// The message that waited for it, if any.
+        /// The message that was waiting for the response, if any.
         message: Option<MessageIndex>,
         response: Message,
     },
-    /// A deferred receipt came on a connection of its own.
+    /// A deferred receipt arrived on an incoming connection.
     Receipt(Message),
 }
 
+/// An outgoing connection to a gateway.
 struct GatewayConnection {
     gateway: usize,
     decoder: Decoder,
-    /// The message whose response is waited for.
+    /// The message that waits for a response on this connection.
     message: Option<MessageIndex>,
-    /// Bytes to be sent once it is established.
+    /// Bytes to send once the connection is established; `None` from then on.
     unsent: Option<Vec<u8>>,
 }
 
-/// All connections of one client.
+/// All connections of a client.
 pub(super) struct Connections {
     net: Net,
+    /// Connections to gateways, including idle ones.
     outgoing: HashMap<ConnId, GatewayConnection>,
-    /// Kept-alive connections by gateway.
+    /// Idle keep-alive connections, by gateway. May include closed ones, which are skipped on reuse.
     idle: HashMap<usize, Vec<ConnId>>,
-    /// Connections on which receipts come.
+    /// Connections on which deferred receipts arrive.
     incoming: HashMap<ConnId, Decoder>,
 }
 
@@ -55,7 +57,7 @@
         Ok(Connections { net: Net::new()?, outgoing, idle, incoming })
     }
 
-    /// Listens for deferred receipts on a loopback address of its own.
+    /// Listens for deferred receipts on a free port of the loopback address.
     pub(super) fn listen(&mut self) -> io::Result<SocketAddr> {
         let (_, address) = self.net.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         Ok(address)
@@ -65,12 +67,12 @@
         self.net.poll(Some(timeout))
     }
 
-    /// Messages whose response is waited for on a connection.
+    /// Messages that wait for a response on an open connection.
     pub(super) fn awaited_messages(&self) -> HashSet<MessageIndex> {
         self.outgoing.values().filter_map(|connection| connection.message).collect()
     }
 
-    /// Sends a request to a gateway on an idle connection or a new one.
+    /// Sends the request `bytes` to a gateway on an idle connection or a new one.
     pub(super) fn submit(
         &mut self,
         gateway: usize,
@@ -78,7 +80,7 @@
         message: MessageIndex,
         bytes: Vec<u8>,
     ) {
-        let id = self.connection(gateway, address);
+        let id = self.idle_or_new_connection(gateway, address);
         let Some(connection) = self.outgoing.get_mut(&id) else { return };
         connection.message = Some(message);
         match connection.unsent {
@@ -87,7 +89,7 @@
         }
     }
 
-    fn connection(&mut self, gateway: usize, address: SocketAddr) -> ConnId {
+    fn idle_or_new_connection(&mut self, gateway: usize, address: SocketAddr) -> ConnId {
         while let Some(id) = self.idle.get_mut(&gateway).and_then(Vec::pop) {
             if self.outgoing.contains_key(&id) {
                 return id;
@@ -100,13 +102,13 @@
         id
     }
 
-    /// Closes a connection to a gateway without waiting for its response.
+    /// Closes a connection to a gateway without waiting for the response.
     pub(super) fn close(&mut self, id: ConnId) {
         self.net.close(id);
         self.outgoing.remove(&id);
     }
 
-    /// Follows an event of the sockets; returns what the client has to act on.
+    /// Handles a socket event; returns what the client has to handle in turn.
     pub(super) fn on_event(&mut self, event: NetEvent, now: Duration) -> Vec<ConnectionEvent> {
         match event {
             NetEvent::Accepted { conn, .. } => {
@@ -114,13 +116,15 @@
                 Vec::new()
             }
             NetEvent::Connected(id) => {
-                if let Some(bytes) = self.outgoing.get_mut(&id).and_then(|known| known.unsent.take()) {
+                if let Some(bytes) =
+                    self.outgoing.get_mut(&id).and_then(|connection| connection.unsent.take())
+                {
                     self.net.send(id, &bytes);
                 }
                 Vec::new()
             }
             NetEvent::Flushed(connection) => {
-                let message = self.outgoing.get(&connection).and_then(|known| known.message);
+                let message = self.outgoing.get(&connection).and_then(|outgoing| outgoing.message);
                 let flushed = message.map(|message| ConnectionEvent::Flushed { connection, message });
                 flushed.into_iter().collect()
             }
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Acknowledges the receipts that came and hands them on.
+    /// Acknowledges the received receipts with status 200 and returns them.
     fn on_incoming_bytes(&mut self, id: ConnId, bytes: &[u8], now: Duration) -> Vec<ConnectionEvent> {
         let mut receipts = Vec::new();
         let Some(decoder) = self.incoming.get_mut(&id) else { return receipts };
--- a/crates/fakes/src/client/exchange.rs
+++ b/crates/fakes/src/client/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a gateway in bytes: the request of a submission, and the outcome that its response reports.
+//! Encodes the request of a submission, and decodes the outcome that its response or deferred receipt reports.
 
 use super::messages::PendingMessage;
 use crate::record::ReportedOutcome;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Signs, and encrypts where that is wanted, a planned message for a gateway.
+/// Composes a planned message for a gateway, signed and encrypted as `security` says. `None` if that fails.
 pub(super) fn compose_message(
     message: &PendingMessage,
     sender: &Identity,
@@ -25,7 +25,7 @@
     compose(&outgoing, sender, gateway, security).ok()
 }
 
-/// The HTTP request that submits a composed message.
+/// Encodes the HTTP request that submits a composed message. `time_left` is the time to the message's deadline.
 pub(super) fn submission_request(
     message: &PendingMessage,
     composed: &ComposedMessage,
@@ -49,19 +49,21 @@
     encode_request("POST", "/as2", &headers, &composed.body)
 }
 
-/// Whether a response says only that the message is accepted, its outcome being deferred.
+/// Whether a response only accepts the message, so that the outcome will follow in a deferred receipt.
 pub(super) fn is_acceptance(response: &Message) -> bool {
     let is_success = matches!(response.start_line, StartLine::Response { status: 200..=299 });
     is_success && response.headers.get("cloverstile-answer").is_none()
 }
 
-/// The outcome that a response or a deferred receipt reports, proven by its signature.
+/// Reads the outcome from a response or a deferred receipt. A receipt counts only if it is signed with `certificate`
+/// and matches the submitted content.
 pub(super) fn read_outcome(
     message: &PendingMessage,
     response: &Message,
     certificate: &Certificate,
 ) -> ReportedOutcome {
-    let is_multipart = response.headers.get("content-type").is_some_and(|kind| kind.contains("multipart"));
+    let is_multipart =
+        response.headers.get("content-type").is_some_and(|content_type| content_type.contains("multipart"));
     if response.body.is_empty() || !is_multipart {
         return match response.start_line {
             StartLine::Response { status: 503 } => ReportedOutcome::NotAccepted,
@@ -70,11 +72,11 @@
     }
     let Some(composed) = &message.composed else { return ReportedOutcome::Unclear };
     let receipt = read_receipt(&response.headers, &response.body, certificate);
-    let checked = receipt.and_then(|receipt| {
+    let final_outcome = receipt.and_then(|receipt| {
         receipt.check(&message.planned.id, &composed.mic, true)?;
         Ok(receipt.final_outcome)
     });
-    match checked {
+    match final_outcome {
         Ok(Some(Outcome::Delivered)) => ReportedOutcome::Delivered,
         Ok(Some(Outcome::Rejected)) => ReportedOutcome::Rejected,
         Ok(Some(Outcome::Failed)) => ReportedOutcome::Failed,
--- a/crates/fakes/src/client/gateways.rs
+++ b/crates/fakes/src/client/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways as their clients know them, and the choice of one for a submission.
+//! The gateways from the point of view of their clients, and the selection of one for a submission.
 
 use cloverstile_as2::Certificate;
 use std::collections::HashMap;
@@ -6,18 +6,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long a gateway that refused a connection or a message is passed over.
-const AVOIDANCE: Duration = Duration::from_millis(500);
+/// How long a gateway that refused a connection or did not accept a message is avoided.
+const AVOIDANCE_TIME: Duration = Duration::from_millis(500);
 
-/// Addresses and identities of the gateways; shared with whoever starts and kills them.
+/// Addresses and identities of the gateways, each by index. Shared with the code that starts and stops them, which
+/// updates `running`.
 pub struct GatewaySet {
-    /// Listening addresses.
+    /// Addresses on which the gateways listen for submissions.
     pub addresses: Vec<SocketAddr>,
-    /// AS2 names.
+    /// AS2 names of the gateways.
     pub names: Vec<String>,
-    /// Certificates.
+    /// Certificates for encryption to the gateways and for verification of their receipts.
     pub certificates: Vec<Certificate>,
-    /// Which of them accept messages, as far as is known.
+    /// Whether each gateway is believed to be running and to accept messages.
     pub running: Vec<AtomicBool>,
 }
 
@@ -27,10 +28,11 @@
     }
 }
 
-/// One client's view of the gateways: which of them it passes over for the moment.
+/// Selects gateways for a client, and remembers which of them it avoids at the moment.
 pub(super) struct GatewaySelector {
+    /// Time until which a gateway is avoided.
     avoided_until: HashMap<usize, Duration>,
-    /// Gateways that ran when last looked at.
+    /// Whether each gateway was running at the last call of [`Self::newly_stopped`].
     was_running: Vec<bool>,
 }
 
@@ -39,12 +41,13 @@
         GatewaySelector { avoided_until: HashMap::new(), was_running: vec![true; gateway_count] }
     }
 
-    /// Passes over a gateway that just refused a connection or a message.
+    /// Avoids a gateway that just refused a connection or did not accept a message, for [`AVOIDANCE_TIME`].
     pub(super) fn avoid(&mut self, gateway: usize, now: Duration) {
-        self.avoided_until.insert(gateway, now + AVOIDANCE);
+        self.avoided_until.insert(gateway, now + AVOIDANCE_TIME);
     }
 
-    /// A running gateway: the preferred one while it runs, otherwise one by the hash.
+    /// Selects a running gateway: the preferred one, or one by `hash` if that is stopped or avoided. Avoided gateways
+    /// are selected only if all running ones are avoided.
     pub(super) fn select(
         &self,
         gateways: &GatewaySet,
@@ -64,12 +67,12 @@
         (!candidates.is_empty()).then(|| candidates[hash % candidates.len()])
     }
 
-    /// Gateways that have stopped since the last call.
+    /// Gateways that stopped since the last call.
     pub(super) fn newly_stopped(&mut self, gateways: &GatewaySet) -> Vec<usize> {
         let mut stopped = Vec::new();
         for (gateway, was_running) in self.was_running.iter_mut().enumerate() {
-            let runs = gateways.is_running(gateway);
-            if std::mem::replace(was_running, runs) && !runs {
+            let is_running = gateways.is_running(gateway);
+            if std::mem::replace(was_running, is_running) && !is_running {
                 stopped.push(gateway);
             }
         }
@@ -77,7 +80,7 @@
     }
 }
 
-/// Hash by which messages of one key choose the same gateway.
+/// Hash of an order key, so that messages with the same key select the same gateway.
 pub(super) fn key_hash(key: &str) -> usize {
     key.bytes().fold(7_usize, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte.into()))
 }
--- a/crates/fakes/src/client/messages.rs
+++ b/crates/fakes/src/client/messages.rs
@@ -1,5 +1,5 @@
-//! The messages of a client's plan: when each is due, which wait behind an earlier message of their key, and which
-//! have their final outcome. No I/O.
+//! A client's planned messages: when each is due, which wait for an earlier message with the same order key, and which
+//! are finished. No I/O.
 
 use cloverstile_as2::ComposedMessage;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -8,53 +8,54 @@
 /// A message that a client will submit.
 #[derive(Clone, Debug)]
 pub struct PlannedMessage {
-    /// When it is first submitted, from the start of the run.
+    /// Time of the first submission, from the start of the run.
     pub submit_at: Duration,
     /// Message-ID.
     pub id: String,
-    /// Class, as the gateways' settings name it.
+    /// Name of the class in the gateways' settings.
     pub class: String,
-    /// Partner, as the gateways' settings name it.
+    /// Name of the partner in the gateways' settings.
     pub partner: String,
-    /// Order key, for classes delivered in order: messages of one key go to one gateway, one after another.
+    /// Order key; only for classes that are delivered in order. Messages with the same key are submitted one after
+    /// another to the same gateway.
     pub key: Option<String>,
-    /// Time from the first submission after which the gateway gives it up.
+    /// Time from the first submission until the gateway gives the message up.
     pub deadline: Duration,
-    /// Payload.
+    /// Content of the message, before signing and encryption.
     pub body: Vec<u8>,
-    /// The client drops its connection right after the first submission, and submits again on another one.
+    /// Whether the client drops its connection right after the first submission, and resubmits on another one.
     pub disconnects_after_submission: bool,
 }
 
-/// Index of a message in its client's plan.
+/// Index of a message in the plan of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct MessageIndex(usize);
 
 impl MessageIndex {
-    /// The position in the plan.
+    /// Position in the plan, counted from 0.
     pub(super) fn position(self) -> usize {
         self.0
     }
 }
 
-/// A planned message and how far its submission has come.
+/// A planned message and the state of its submission.
 pub(super) struct PendingMessage {
     pub(super) planned: PlannedMessage,
-    /// The AS2 message for the gateway that it goes to.
+    /// The AS2 message, composed for `gateway`.
     pub(super) composed: Option<ComposedMessage>,
-    /// The gateway of the last submission.
+    /// Gateway of the last submission.
     pub(super) gateway: Option<usize>,
-    /// When the gateways give it up; set at the first submission.
+    /// When gateways give the message up, from the start of the run; set at the first submission.
     pub(super) deadline: Option<Duration>,
-    /// Rejections so far that were answered by a resubmission.
+    /// Number of rejections after which the message was resubmitted.
     pub(super) rejections: u32,
-    /// Its gateway has it, or may have it.
+    /// Whether a gateway accepted the message or may have done so.
     pub(super) possibly_accepted: bool,
-    /// A gateway that may have had it was lost.
+    /// Whether a gateway that may have accepted the message was lost or replaced by another one.
     pub(super) after_loss: bool,
-    /// Submissions so far.
+    /// Number of submissions so far.
     pub(super) submissions: u32,
-    /// It has its final outcome, or is waited for no longer.
+    /// Whether the message has its final outcome, or the client gave up on it.
     pub(super) finished: bool,
 }
 
@@ -73,27 +74,28 @@
         }
     }
 
-    /// Whether the client drops the connection of the present submission.
+    /// Whether the client drops the connection of the current submission.
     pub(super) fn disconnects_now(&self) -> bool {
         self.planned.disconnects_after_submission && self.submissions == 1
     }
 }
 
-/// All messages of one client.
+/// All messages of a client, with indexes by id, time and order key.
 pub(super) struct MessageTable {
     messages: Vec<PendingMessage>,
     by_id: HashMap<String, MessageIndex>,
-    /// Submissions by the time they are due.
+    /// Scheduled submissions, ordered by due time.
     due: BTreeSet<(Duration, MessageIndex)>,
-    /// When an outcome is waited for no longer.
+    /// When the client gives up on each submitted message, ordered by time.
     timeouts: BTreeSet<(Duration, MessageIndex)>,
-    /// Messages of a key; those behind the first wait until it is known to be accepted.
+    /// Messages by order key. Only the first may be submitted; the others wait until it is known to be accepted.
     key_queues: HashMap<String, VecDeque<MessageIndex>>,
+    /// Number of messages that are not finished.
     unfinished: usize,
 }
 
 impl MessageTable {
-    /// A table of messages that are all still to be submitted.
+    /// Creates a table that schedules the first submission of each message.
     pub(super) fn new(plan: Vec<PlannedMessage>) -> Self {
         let mut table = MessageTable {
             unfinished: plan.len(),
@@ -112,7 +114,7 @@
         table
     }
 
-    /// Whether any message still waits for its final outcome.
+    /// Whether any message is neither finished nor given up on.
     pub(super) fn has_unfinished(&self) -> bool {
         self.unfinished > 0
     }
@@ -129,7 +131,7 @@
         self.by_id.get(id).copied()
     }
 
-    /// The next time at which a submission is due or a timeout ends.
+    /// Time of the next due submission or timeout.
     pub(super) fn next_time(&self) -> Option<Duration> {
         [self.due.first(), self.timeouts.first()].into_iter().flatten().map(|(at, _)| *at).min()
     }
@@ -142,17 +144,17 @@
         self.timeouts.insert((at, index));
     }
 
-    /// Removes the first submission that is due.
+    /// Removes the earliest submission that is due.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<MessageIndex> {
         pop_until(&mut self.due, now)
     }
 
-    /// Removes the first message whose outcome is waited for no longer.
+    /// Removes the earliest timeout that has passed, and returns its message.
     pub(super) fn pop_timed_out(&mut self, now: Duration) -> Option<MessageIndex> {
         pop_until(&mut self.timeouts, now)
     }
 
-    /// Queues a message behind the earlier ones of its key; returns whether it may be submitted now.
+    /// Adds a message to the queue of its order key; returns whether it may be submitted now.
     pub(super) fn join_key_queue(&mut self, index: MessageIndex) -> bool {
         let Some(key) = self.messages[index.0].planned.key.clone() else { return true };
         let queue = self.key_queues.entry(key).or_default();
@@ -162,9 +164,9 @@
         queue.front() == Some(&index)
     }
 
-    /// Takes an accepted or finished message off its key's queue; returns the next that may be submitted.
+    /// Removes an accepted or finished message from the queue of its order key; returns the next that may be submitted.
     ///
-    /// The order of a key's submissions is only certain once the message before is known to have been accepted.
+    /// The order of submissions is only certain if each one starts after the previous message is known to be accepted.
     pub(super) fn leave_key_queue(&mut self, index: MessageIndex) -> Option<MessageIndex> {
         let key = self.messages[index.0].planned.key.as_ref()?;
         let queue = self.key_queues.get_mut(key)?;
@@ -172,14 +174,14 @@
             return None;
         }
         queue.pop_front();
-        // A message that finished meanwhile must not hold up those behind it.
+        // Messages that finished while they waited must not block the queue.
         while queue.front().is_some_and(|next| self.messages[next.0].finished) {
             queue.pop_front();
         }
         queue.front().copied()
     }
 
-    /// Marks a message as finished; returns whether it was not before.
+    /// Marks a message as finished; returns whether it was unfinished before.
     pub(super) fn mark_finished(&mut self, index: MessageIndex) -> bool {
         let was_finished = std::mem::replace(&mut self.messages[index.0].finished, true);
         if !was_finished {
@@ -188,18 +190,19 @@
         !was_finished
     }
 
-    /// Unfinished messages last submitted to a gateway.
+    /// Unfinished messages whose last submission went to this gateway.
     pub(super) fn waiting_for(&self, gateway: usize) -> Vec<MessageIndex> {
-        let waits = |message: &PendingMessage| {
+        let is_waiting = |message: &PendingMessage| {
             !message.finished && message.submissions > 0 && message.gateway == Some(gateway)
         };
         (0..self.messages.len())
-            .filter(|position| waits(&self.messages[*position]))
+            .filter(|position| is_waiting(&self.messages[*position]))
             .map(MessageIndex)
             .collect()
     }
 }
 
+/// Removes and returns the first message whose time is not later than `now`.
 fn pop_until(times: &mut BTreeSet<(Duration, MessageIndex)>, now: Duration) -> Option<MessageIndex> {
     times.first().filter(|(at, _)| *at <= now)?;
     times.pop_first().map(|(_, index)| index)
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,9 @@
-//! Test doubles that work, for the systems around a gateway: partners with capacity, limits and faults, clients that
-//! submit messages, and the users' platform. All record what passed on their sockets, and nothing else: invariants
-//! are checked on these records, never on a gateway's own logs.
+//! Fakes (working test doubles) of the systems around a gateway: partners with limited capacity, rate limits and
+//! faults, clients that submit messages, and the users' platform. Each records only what passed on its own sockets, so
+//! that invariants are checked on these records and never on a gateway's own logs.
 //!
-//! [`model`] and [`limit`] hold how a partner behaves, free of I/O; [`partner`], [`client`] and [`platform`] put it on
-//! sockets; [`record`] is the common record of partners and clients.
+//! [`model`] and [`limit`] describe the behaviour of a partner without I/O. [`partner`], [`client`] and [`platform`]
+//! serve and send requests over sockets. [`record`] is the common record of partners and clients.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/crates/fakes/src/partner.rs
+++ b/crates/fakes/src/partner.rs
@@ -1,4 +1,5 @@
-//! Partners on sockets: AS2 receivers that behave as their [`model`](crate::model) says, on a thread of their own.
+//! Fake partners on sockets: AS2 receivers that behave according to their [`model`](crate::model). All partners run on
+//! one separate thread.
 
 mod config;
 mod receipts;
@@ -17,9 +18,9 @@
 use std::sync::mpsc::{channel, Sender};
 use std::thread::JoinHandle;
 
-/// A running thread of partners; dropping it stops the thread.
+/// A thread that runs fake partners. Dropping this value stops the thread and waits for its end.
 pub struct Partners {
-    /// Addresses, by partner and endpoint.
+    /// Listening addresses, indexed by partner and endpoint.
     pub addresses: Vec<Vec<SocketAddr>>,
     commands: Sender<PartnerCommand>,
     waker: Waker,
@@ -27,8 +28,8 @@
 }
 
 impl Partners {
-    /// Starts partners on loopback addresses of their own. `gateways` are the certificates of those that may send,
-    /// by AS2 name.
+    /// Starts partners, with each endpoint on a free port of the loopback address. `gateways` holds the certificates of
+    /// the gateways that may send messages, by AS2 name.
     ///
     /// # Errors
     ///
@@ -39,14 +40,14 @@
         recorder: Recorder,
         seed: u64,
     ) -> io::Result<Partners> {
-        let (commands, inbox) = channel();
+        let (commands, command_receiver) = channel();
         let (ready, started) = channel();
         let thread =
             std::thread::Builder::new().name("partners".into()).spawn(move || {
                 match Server::new(partners, gateways, recorder, seed) {
                     Ok(mut server) => {
                         let _ = ready.send(Ok((server.addresses(), server.waker())));
-                        server.run(&inbox);
+                        server.run(&command_receiver);
                     }
                     Err(error) => {
                         let _ = ready.send(Err(error));
@@ -57,7 +58,7 @@
         Ok(Partners { addresses, commands, waker, thread: Some(thread) })
     }
 
-    /// Sends a command to the thread.
+    /// Sends a command to the thread; has no effect if the thread has ended.
     pub fn send(&self, command: PartnerCommand) {
         if self.commands.send(command).is_ok() {
             self.waker.wake();
@@ -69,7 +70,7 @@
     fn drop(&mut self) {
         self.send(PartnerCommand::Stop);
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed; there is nothing to add.
+            // A panic of the thread was already printed by the panic hook.
             let _ = thread.join();
         }
     }
--- a/crates/fakes/src/partner/config.rs
+++ b/crates/fakes/src/partner/config.rs
@@ -1,68 +1,70 @@
-//! What a fake partner is configured with, and the commands to a running one.
+//! Configuration of a fake partner, and the commands to a running one.
 
 use crate::model::{Fault, ServerProfile};
 use cloverstile_as2::Identity;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A partner to be served.
+/// Configuration of a fake partner.
 pub struct FakePartner {
-    /// Name in the records and in the gateways' settings.
+    /// Name of the partner in the records and in the gateways' settings.
     pub name: String,
-    /// Its AS2 name, key and certificate.
+    /// AS2 name, private key and certificate.
     pub identity: Arc<Identity>,
-    /// Its capacity, limit and recovery.
+    /// Capacity, rate limit and recovery of each deduplication group.
     pub profile: ServerProfile,
     /// Number of endpoints to listen on.
     pub endpoints: usize,
-    /// Group of each endpoint, numbered from 0; the endpoints of a group drop repeats of one another and share capacity.
+    /// Deduplication group of each endpoint, numbered from 0. The endpoints of a group share capacity and recognize
+    /// repeats of messages that another one received.
     pub deduplication_groups: Vec<usize>,
 }
 
 impl FakePartner {
+    /// Deduplication group of an endpoint; 0 if none is configured.
     pub(super) fn group(&self, endpoint: usize) -> usize {
         self.deduplication_groups.get(endpoint).copied().unwrap_or(0)
     }
 
-    /// Whether an endpoint is in a group; all are where no group is named.
+    /// Whether an endpoint belongs to a group; always true if `group` is `None`.
     pub(super) fn is_in_group(&self, endpoint: usize, group: Option<usize>) -> bool {
         group.is_none_or(|group| self.deduplication_groups.get(endpoint) == Some(&group))
     }
 }
 
-/// A deliberate fault in receipts.
+/// A fault injected into the receipts of a partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiptFault {
-    /// The integrity check value is another message's.
+    /// The integrity check value (MIC) does not match the message.
     WrongMic,
-    /// Signed by another partner.
+    /// The receipt is signed with another partner's key.
     WrongSigner,
-    /// A deferred receipt is sent twice.
+    /// Deferred receipts are sent twice.
     Duplicate,
-    /// A deferred receipt is sent so many milliseconds late.
+    /// Deferred receipts are sent this many milliseconds late.
     Delay(u64),
 }
 
-/// A command to the running thread of partners.
+/// A command to the thread that runs the partners.
 pub enum PartnerCommand {
-    /// Begins a fault that ends by itself.
+    /// Begins a fault that ends by itself after `duration`.
     Fault {
         /// Index of the partner.
         partner: usize,
-        /// The fault.
+        /// The fault to inject.
         fault: Fault,
-        /// Group of endpoints that is affected; all of them where there is none.
+        /// Affected deduplication group; `None` for all endpoints.
         group: Option<usize>,
-        /// How long it lasts.
+        /// Time until the fault ends.
         duration: Duration,
     },
-    /// Sets the fault in all receipts of a partner.
+    /// Sets or clears the fault in the receipts of a partner.
     SetReceiptFault {
         /// Index of the partner.
         partner: usize,
-        /// The fault; none ends it.
+        /// The fault from now on; `None` for correct receipts.
         fault: Option<ReceiptFault>,
     },
-    /// Ends the thread.
+    /// Stops the thread.
     Stop,
 }
--- a/crates/fakes/src/partner/receipts.rs
+++ b/crates/fakes/src/partner/receipts.rs
@@ -1,4 +1,4 @@
-//! Opens messages as a partner and composes their receipts, with the faults that were asked for.
+//! Opens messages on behalf of a partner and composes their receipts, including injected faults.
 
 use super::config::ReceiptFault;
 use crate::model::Reply;
@@ -9,24 +9,26 @@
 use cloverstile_http::{parse_http_url, Message};
 use std::net::SocketAddr;
 
-/// A composed receipt and whether its message could be opened.
+/// Result of opening a message and composing its receipt.
 pub(super) struct ComposedReceipt {
+    /// Message-ID of the message.
     pub(super) message_id: String,
+    /// Whether the message could be decrypted and verified.
     pub(super) opened: bool,
-    /// The receipt; none if it can't be composed.
+    /// The receipt, or `None` if it can't be composed.
     pub(super) receipt: Option<ComposedMessage>,
 }
 
-/// A partner's side of a receipt.
+/// The identity that opens messages and signs receipts, and the fault to apply.
 pub(super) struct ReceiptSigner<'a> {
     pub(super) identity: &'a Identity,
-    /// Any other partner, for receipts that are signed wrongly.
-    pub(super) other: Option<&'a Identity>,
+    /// Another partner, whose key signs the receipts under [`ReceiptFault::WrongSigner`].
+    pub(super) other_identity: Option<&'a Identity>,
     pub(super) fault: Option<ReceiptFault>,
 }
 
-/// Opens a message and composes its receipt; none if its headers are not AS2.
-pub(super) fn compose_for(
+/// Opens a message and composes its receipt. Returns `None` if the headers are not valid AS2.
+pub(super) fn open_and_compose_receipt(
     message: &Message,
     sender: &Certificate,
     reply: Reply,
@@ -43,8 +45,8 @@
     if let (Some(ReceiptFault::WrongMic), Some(mic)) = (signer.fault, &mut mic) {
         mic.value.reverse();
     }
-    let requested = envelope.receipt.and_then(|receipt| receipt.signed.first().copied());
-    let digest = requested.filter(|digest| *digest != Digest::Sha1);
+    let requested_digest = envelope.receipt.and_then(|receipt| receipt.signed.first().copied());
+    let digest = requested_digest.filter(|digest| *digest != Digest::Sha1);
     let receipt_id = format!("receipt.{}", envelope.message_id);
     let content = ReceiptContent {
         receipt_id: &receipt_id,
@@ -56,19 +58,19 @@
         final_outcome: None,
     };
     let identity = match signer.fault {
-        Some(ReceiptFault::WrongSigner) => signer.other.unwrap_or(signer.identity),
+        Some(ReceiptFault::WrongSigner) => signer.other_identity.unwrap_or(signer.identity),
         _ => signer.identity,
     };
     let receipt = compose_receipt(&content, identity, digest).ok();
     Some(ComposedReceipt { message_id: envelope.message_id, opened: is_opened, receipt })
 }
 
-/// Where a message wants its receipt on a connection of its own: the URL as it stands.
+/// URL to which a message requests a deferred receipt, unparsed; `None` if it does not request one.
 pub(super) fn deferred_url(message: &Message) -> Option<String> {
     Envelope::parse(&message.headers).ok()?.receipt?.deliver_to
 }
 
-/// Address and path of a deferred receipt.
+/// Address and path to which a message requests a deferred receipt.
 pub(super) fn deferred_target(message: &Message) -> Option<(SocketAddr, String)> {
     parse_http_url(&deferred_url(message)?)
 }
--- a/crates/fakes/src/partner/served.rs
+++ b/crates/fakes/src/partner/served.rs
@@ -1,4 +1,4 @@
-//! One partner while it is served: its models, listeners and present faults.
+//! State of a running partner: its models, listeners and current faults.
 
 use super::config::{FakePartner, ReceiptFault};
 use crate::model::{Fault, PartnerModel};
@@ -9,27 +9,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An endpoint's listener; none while connections are refused.
+/// Listening socket of an endpoint.
 pub(super) struct EndpointListener {
+    /// `None` while connections are refused.
     pub(super) listener: Option<ListenerId>,
+    /// Listening address; kept while connections are refused, to listen on it again afterwards.
     pub(super) address: SocketAddr,
 }
 
-/// A partner and its state.
+/// A running partner.
 pub(super) struct ServedPartner {
     pub(super) config: FakePartner,
-    /// One for each group of endpoints.
+    /// One model per deduplication group.
     models: Vec<PartnerModel>,
+    /// Listeners, by endpoint.
     pub(super) listeners: Vec<EndpointListener>,
     pub(super) receipt_fault: Option<ReceiptFault>,
-    pub(super) fault_ends: Option<Duration>,
-    /// The group that the fault affects; all of them where there is none.
+    /// When the current fault ends; `None` without a fault.
+    pub(super) fault_ends_at: Option<Duration>,
+    /// Deduplication group that the fault affects; `None` if it affects all.
     pub(super) affected_group: Option<usize>,
 }
 
 impl ServedPartner {
     pub(super) fn new(config: FakePartner, listeners: Vec<EndpointListener>, seed: u64) -> Self {
-        let groups = config.deduplication_groups.iter().max().map_or(1, |most| most + 1);
+        let groups = config.deduplication_groups.iter().max().map_or(1, |highest| highest + 1);
         let model = |group: usize| {
             PartnerModel::new(config.profile.clone(), ChaCha8Rng::seed_from_u64(seed ^ group as u64))
         };
@@ -38,12 +42,12 @@
             config,
             listeners,
             receipt_fault: None,
-            fault_ends: None,
+            fault_ends_at: None,
             affected_group: None,
         }
     }
 
-    /// The model behind an endpoint.
+    /// Model of the deduplication group of an endpoint.
     pub(super) fn model(&mut self, endpoint: usize) -> &mut PartnerModel {
         let group = self.config.group(endpoint);
         &mut self.models[group]
@@ -53,20 +57,20 @@
         self.models.iter().any(PartnerModel::has_collapsed)
     }
 
-    /// Begins a fault in one group of endpoints, or in all.
+    /// Begins a fault in one deduplication group, or in all if `group` is `None`.
     pub(super) fn begin_fault(&mut self, fault: Fault, group: Option<usize>, until: Duration) {
         self.affected_group = group;
-        self.fault_ends = Some(until);
-        for (number, model) in self.models.iter_mut().enumerate() {
-            if group.is_none_or(|group| group == number) {
+        self.fault_ends_at = Some(until);
+        for (index, model) in self.models.iter_mut().enumerate() {
+            if group.is_none_or(|group| group == index) {
                 model.begin_fault(fault, until);
             }
         }
     }
 
-    /// Ends the fault; returns whether it was an outage.
+    /// Ends the current fault; returns whether it was an outage.
     pub(super) fn end_fault(&mut self, now: Duration) -> bool {
-        self.fault_ends = None;
+        self.fault_ends_at = None;
         let was_outage = self.models.iter().filter_map(PartnerModel::fault).any(Fault::is_outage);
         for model in &mut self.models {
             model.end_fault(now);
@@ -74,7 +78,7 @@
         was_outage
     }
 
-    /// Listeners of the affected endpoints that are to be closed.
+    /// Removes and returns the listeners of a deduplication group's endpoints (all if `None`), for the caller to close.
     pub(super) fn take_listeners(&mut self, group: Option<usize>) -> Vec<ListenerId> {
         let config = &self.config;
         let affected = self.listeners.iter_mut().enumerate();
@@ -84,7 +88,7 @@
             .collect()
     }
 
-    /// The limit's state as header fields of a response.
+    /// Header fields of a response that advertise the state of the rate limit; empty without a rate limit.
     pub(super) fn limit_headers(&self) -> Headers {
         let mut headers = Headers::new();
         if let Some((remaining, limit)) = self.models[0].rate_limit_state() {
--- a/crates/fakes/src/partner/server.rs
+++ b/crates/fakes/src/partner/server.rs
@@ -1,4 +1,5 @@
-//! The event loop of fake partners: requests in, responses and deferred receipts out when their model says.
+//! Event loop of the fake partners: receives requests, and sends responses and deferred receipts at the times that the
+//! model determines.
 
 use super::config::{FakePartner, PartnerCommand, ReceiptFault};
 use super::receipts::{self, ReceiptSigner};
@@ -17,23 +18,24 @@
 /// Time between the copies of a duplicated receipt, in milliseconds.
 const DUPLICATE_SPACING_MS: u64 = 20;
 
-/// An endpoint of one of the partners.
+/// Indexes of a partner and of one of its endpoints.
 #[derive(Clone, Copy)]
 struct EndpointRef {
     partner: usize,
     endpoint: usize,
 }
 
+/// An incoming connection from a gateway.
 struct Connection {
-    at: EndpointRef,
+    endpoint_ref: EndpointRef,
     decoder: Decoder,
-    /// The request that waits for its response.
+    /// Number of the request that waits for its response.
     request: Option<u64>,
-    /// When its last response left.
+    /// When the last response was sent.
     last_used: Option<Duration>,
 }
 
-/// A response that waits for its time.
+/// A response that is scheduled for a later time.
 struct PendingResponse {
     connection: ConnId,
     partner: usize,
@@ -43,13 +45,13 @@
     takes_effect: bool,
 }
 
-/// A receipt that goes out on a connection of its own.
+/// A receipt that is sent on a separate connection.
 struct DeferredReceipt {
     address: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// All partners of one thread.
+/// Server of all fake partners, run by one thread.
 pub(super) struct Server {
     net: Net,
     partners: Vec<ServedPartner>,
@@ -58,15 +60,18 @@
     recorder: Recorder,
     connections: HashMap<ConnId, Connection>,
     listeners: HashMap<ListenerId, EndpointRef>,
-    pending: BTreeMap<(Duration, u64), PendingResponse>,
-    /// Bytes of deferred receipts to send once their connection is established.
-    outbound: HashMap<ConnId, Vec<u8>>,
-    deferred: BTreeMap<(Duration, u64), DeferredReceipt>,
-    last_number: u64,
+    /// Scheduled responses, by time and request number.
+    pending_responses: BTreeMap<(Duration, u64), PendingResponse>,
+    /// Bytes of deferred receipts whose connection is not established yet.
+    unsent_receipts: HashMap<ConnId, Vec<u8>>,
+    /// Scheduled deferred receipts, by time and sequence number.
+    deferred_receipts: BTreeMap<(Duration, u64), DeferredReceipt>,
+    /// Last number given to a request or a deferred receipt.
+    last_sequence_number: u64,
 }
 
 impl Server {
-    /// A server that listens for all endpoints on loopback addresses of their own.
+    /// Creates a server that listens on a free port of the loopback address for each endpoint.
     pub(super) fn new(
         partners: Vec<FakePartner>,
         gateways: HashMap<String, Certificate>,
@@ -80,10 +85,10 @@
             recorder,
             connections: HashMap::new(),
             listeners: HashMap::new(),
-            pending: BTreeMap::new(),
-            outbound: HashMap::new(),
-            deferred: BTreeMap::new(),
-            last_number: 0,
+            pending_responses: BTreeMap::new(),
+            unsent_receipts: HashMap::new(),
+            deferred_receipts: BTreeMap::new(),
+            last_sequence_number: 0,
         };
         for (partner, config) in partners.into_iter().enumerate() {
             let mut listeners = Vec::new();
@@ -98,7 +103,7 @@
         Ok(server)
     }
 
-    /// Addresses, by partner and endpoint.
+    /// Listening addresses, indexed by partner and endpoint.
     pub(super) fn addresses(&self) -> Vec<Vec<SocketAddr>> {
         let of_partner = |partner: &ServedPartner| {
             partner.listeners.iter().map(|endpoint| endpoint.address).collect::<Vec<_>>()
@@ -110,7 +115,7 @@
         self.net.waker()
     }
 
-    /// Serves until told to stop, or until the sockets can't be polled.
+    /// Runs until [`PartnerCommand::Stop`] is received or polling the sockets fails.
     pub(super) fn run(&mut self, commands: &Receiver<PartnerCommand>) {
         loop {
             let timeout = self.next_time().map(|at| at.saturating_sub(self.recorder.now()));
@@ -129,34 +134,35 @@
                     PartnerCommand::Stop => return,
                 }
             }
-            self.on_time(self.recorder.now());
+            self.on_timer(self.recorder.now());
         }
     }
 
-    /// When the next response, deferred receipt or end of a fault is due.
+    /// Time of the next due response, deferred receipt or end of a fault.
     fn next_time(&self) -> Option<Duration> {
         let next = [
-            self.pending.first_key_value().map(|((at, _), _)| *at),
-            self.deferred.first_key_value().map(|((at, _), _)| *at),
-            self.partners.iter().filter_map(|partner| partner.fault_ends).min(),
+            self.pending_responses.first_key_value().map(|((at, _), _)| *at),
+            self.deferred_receipts.first_key_value().map(|((at, _), _)| *at),
+            self.partners.iter().filter_map(|partner| partner.fault_ends_at).min(),
         ];
         next.into_iter().flatten().min()
     }
 
-    fn on_time(&mut self, now: Duration) {
+    /// Ends faults, and sends responses and deferred receipts, that are due.
+    fn on_timer(&mut self, now: Duration) {
         for partner in 0..self.partners.len() {
-            if self.partners[partner].fault_ends.is_some_and(|at| at <= now) {
+            if self.partners[partner].fault_ends_at.is_some_and(|at| at <= now) {
                 self.end_fault(partner);
             }
         }
-        while let Some(due) = self.pending.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(due) = self.pending_responses.first_entry().filter(|entry| entry.key().0 <= now) {
             let due = due.remove();
             self.respond(&due);
         }
-        while let Some(due) = self.deferred.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(due) = self.deferred_receipts.first_entry().filter(|entry| entry.key().0 <= now) {
             let receipt = due.remove();
             let connection = self.net.connect(receipt.address);
-            self.outbound.insert(connection, receipt.bytes);
+            self.unsent_receipts.insert(connection, receipt.bytes);
         }
     }
 
@@ -182,7 +188,8 @@
     fn reset_connections(&mut self, partner: usize, group: Option<usize>) {
         let config = &self.partners[partner].config;
         let affected = |connection: &Connection| {
-            connection.at.partner == partner && config.is_in_group(connection.at.endpoint, group)
+            connection.endpoint_ref.partner == partner
+                && config.is_in_group(connection.endpoint_ref.endpoint, group)
         };
         let affected: Vec<ConnId> = self
             .connections
@@ -218,14 +225,14 @@
         self.recorder.record(ObservedEvent::Outage { partner, zone, began });
     }
 
-    /// Resets a connection; the request on it is over for the gateway.
+    /// Resets a connection, which ends the request on it.
     fn reset_connection(&mut self, id: ConnId) {
-        self.end_broken(id);
+        self.remove_broken_connection(id);
         self.net.reset(id);
     }
 
-    /// Forgets a connection and records the end of the request on it.
-    fn end_broken(&mut self, id: ConnId) {
+    /// Removes a connection that the partner breaks, and records the end of the request on it.
+    fn remove_broken_connection(&mut self, id: ConnId) {
         if let Some(request) = self.connections.remove(&id).and_then(|connection| connection.request) {
             self.recorder.record(ObservedEvent::RequestEnded { request, end: RequestEnd::Broken });
         }
@@ -234,26 +241,29 @@
     fn on_event(&mut self, event: NetEvent) {
         match event {
             NetEvent::Accepted { listener, conn } => {
-                let Some(&at) = self.listeners.get(&listener) else { return };
+                let Some(&endpoint_ref) = self.listeners.get(&listener) else { return };
                 let decoder = Decoder::server(Limits::default());
-                self.connections.insert(conn, Connection { at, decoder, request: None, last_used: None });
+                self.connections
+                    .insert(conn, Connection { endpoint_ref, decoder, request: None, last_used: None });
             }
             NetEvent::Bytes(id, bytes) => self.on_bytes(id, &bytes),
             NetEvent::Closed { conn, .. } => {
-                self.outbound.remove(&conn);
-                if let Some(request) = self.connections.remove(&conn).and_then(|known| known.request) {
+                self.unsent_receipts.remove(&conn);
+                if let Some(request) =
+                    self.connections.remove(&conn).and_then(|connection| connection.request)
+                {
                     let end = RequestEnd::ClientClosed;
                     self.recorder.record(ObservedEvent::RequestEnded { request, end });
                 }
             }
             NetEvent::Connected(id) => {
-                if let Some(bytes) = self.outbound.remove(&id) {
+                if let Some(bytes) = self.unsent_receipts.remove(&id) {
                     self.net.send(id, &bytes);
                     self.net.close_after_flush(id);
                 }
             }
             NetEvent::ConnectFailed(id, _) => {
-                self.outbound.remove(&id);
+                self.unsent_receipts.remove(&id);
             }
             NetEvent::PeerHalfClosed(_) | NetEvent::Flushed(_) | NetEvent::Signal(_) | NetEvent::Woken => {}
         }
@@ -276,13 +286,13 @@
     fn on_request(&mut self, id: ConnId, message: Message) {
         let now = self.recorder.now();
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let EndpointRef { partner, endpoint } = connection.at;
+        let EndpointRef { partner, endpoint } = connection.endpoint_ref;
         let Ok(envelope) = Envelope::parse(&message.headers) else {
             self.net.send(id, &encode_response(400, "Bad Request", &Headers::new(), b"not AS2"));
             return;
         };
-        self.last_number += 1;
-        let request = self.last_number;
+        self.last_sequence_number += 1;
+        let request = self.last_sequence_number;
         connection.request = Some(request);
         let served = &mut self.partners[partner];
         let message_id = envelope.message_id;
@@ -309,7 +319,7 @@
         match decision.respond_at {
             Some(at) => {
                 let due = PendingResponse { connection: id, partner, request, message, reply, takes_effect };
-                self.pending.insert((at, request), due);
+                self.pending_responses.insert((at, request), due);
             }
             None if takes_effect => self.record_effect(partner, message_id),
             None => {}
@@ -322,16 +332,17 @@
     }
 
     fn respond(&mut self, due: &PendingResponse) {
-        let waits = |connection: &Connection| connection.request == Some(due.request);
-        if !self.connections.get(&due.connection).is_some_and(waits) {
-            // The gateway closed it; a receipt on a connection of its own still goes out.
+        let is_waiting = |connection: &Connection| connection.request == Some(due.request);
+        if !self.connections.get(&due.connection).is_some_and(is_waiting) {
+            // The connection is closed, but a deferred receipt is still sent, on a separate connection.
             return self.defer_receipt(due);
         }
         let mut headers = self.partners[due.partner].limit_headers();
         let is_deferred = receipts::deferred_url(&due.message).is_some();
         let (bytes, end) = match due.reply {
             Reply::Rejected(wait) => {
-                // Whole seconds, rounded up: at the end of the wait there is capacity (RFC 9110, section 10.2.3).
+                // Retry-After is in whole seconds (RFC 9110, section 10.2.3). It is rounded up, so that there is
+                // capacity when the wait ends.
                 let seconds = wait.map(|wait| wait.as_secs_f64().ceil().max(1.0) as u64);
                 if let Some(seconds) = seconds {
                     headers.add("Retry-After", seconds.to_string());
@@ -345,7 +356,9 @@
                 (encode_response(202, "Accepted", &headers, b""), RequestEnd::Deferred)
             }
             Reply::Processed | Reply::Truncated | Reply::Error => {
-                let Some(receipt) = self.receipt(due) else { return self.reset_connection(due.connection) };
+                let Some(receipt) = self.process_message(due) else {
+                    return self.reset_connection(due.connection);
+                };
                 headers.extend(&receipt.headers);
                 let bytes = encode_response(200, "OK", &headers, &receipt.body);
                 match due.reply {
@@ -364,32 +377,33 @@
         self.net.send(due.connection, &bytes);
     }
 
-    /// Sends the first half of a response and closes.
+    /// Sends the first half of a response and closes the connection.
     fn send_truncated(&mut self, id: ConnId, bytes: &[u8]) {
         self.net.send(id, &bytes[..bytes.len() / 2]);
-        self.end_broken(id);
+        self.remove_broken_connection(id);
         self.net.close_after_flush(id);
     }
 
-    /// Opens a message, lets it take effect where it does, and composes its receipt.
-    fn receipt(&self, due: &PendingResponse) -> Option<ComposedMessage> {
+    /// Opens a message, records its effect if it has one, and composes its receipt. Returns `None` if the sender is
+    /// unknown or the receipt can't be composed.
+    fn process_message(&self, due: &PendingResponse) -> Option<ComposedMessage> {
         let served = &self.partners[due.partner];
         let from = Envelope::parse(&due.message.headers).ok()?.from;
         let sender = self.gateways.get(&from)?;
         let identity = &served.config.identity;
         let identities = self.partners.iter().map(|partner| &*partner.config.identity);
-        let other = identities.into_iter().find(|other| other.name != identity.name);
-        let signer = ReceiptSigner { identity, other, fault: served.receipt_fault };
-        let composed = receipts::compose_for(&due.message, sender, due.reply, &signer)?;
+        let other_identity = identities.into_iter().find(|other| other.name != identity.name);
+        let signer = ReceiptSigner { identity, other_identity, fault: served.receipt_fault };
+        let composed = receipts::open_and_compose_receipt(&due.message, sender, due.reply, &signer)?;
         if due.takes_effect && composed.opened {
             self.record_effect(due.partner, composed.message_id);
         }
         composed.receipt
     }
 
-    /// Queues a receipt to where the message wants it, on a connection of its own.
+    /// Schedules a deferred receipt to the URL that the message requests. Does nothing if it requests none.
     fn defer_receipt(&mut self, due: &PendingResponse) {
-        let Some(receipt) = self.receipt(due) else { return };
+        let Some(receipt) = self.process_message(due) else { return };
         if !matches!(due.reply, Reply::Processed | Reply::Error) {
             return;
         }
@@ -404,10 +418,10 @@
             _ => (1, 0),
         };
         for copy in 0..copies {
-            self.last_number += 1;
+            self.last_sequence_number += 1;
             let at = now + Duration::from_millis(delay_ms + copy * DUPLICATE_SPACING_MS);
             let deferred = DeferredReceipt { address, bytes: bytes.clone() };
-            self.deferred.insert((at, self.last_number), deferred);
+            self.deferred_receipts.insert((at, self.last_sequence_number), deferred);
         }
     }
 }
--- a/crates/fakes/tests/invariants.rs
+++ b/crates/fakes/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! The checks of the platform's invariants: histories that keep all of them, and the same with one event that breaks one.
+//! Tests of the platform's invariant checks: a history that satisfies all invariants, and variants of it that violate
+//! one.
 
 use cloverstile_fakes::platform::{
     find_violations, InvariantRules, PlatformEvent, SlowStartRule, TimedEvent, ViolationKind,
@@ -57,7 +58,8 @@
     PlatformEvent::NotificationAnswered { id: id.into() }
 }
 
-/// Two messages of a key: the first is abandoned and notified of, the second delivered behind its rest.
+/// Two messages with the same key: the gateway gives the first up and notifies of it, and delivers the second after the
+/// settle time.
 fn history() -> Vec<TimedEvent> {
     vec![
         (at(0), submitted("a")),
@@ -73,8 +75,8 @@
     ]
 }
 
-/// The kinds of violations of a history, with the events of it that are not among `left_out`, and more.
-fn kinds(left_out: &[PlatformEvent], added: Vec<TimedEvent>) -> Vec<ViolationKind> {
+/// Kinds of the violations found in [`history`] without the events in `left_out` and with those in `added`.
+fn violation_kinds(left_out: &[PlatformEvent], added: Vec<TimedEvent>) -> Vec<ViolationKind> {
     let mut events: Vec<TimedEvent> = history();
     events.retain(|(_, event)| !left_out.contains(event));
     events.extend(added);
@@ -82,98 +84,98 @@
 }
 
 #[test]
-fn history_that_keeps_every_invariant_has_no_violation() {
-    assert_eq!(kinds(&[], vec![]), []);
+fn history_that_satisfies_all_invariants_has_no_violations() {
+    assert_eq!(violation_kinds(&[], vec![]), []);
 }
 
 #[test]
-fn end_that_is_missing_or_late_is_found() {
+fn missing_or_late_final_outcome_is_reported() {
     let end = [notification("a", "undeliverable"), answered("a")];
-    assert!(kinds(&end, vec![]).contains(&ViolationKind::NoEnd));
+    assert!(violation_kinds(&end, vec![]).contains(&ViolationKind::NoEnd));
     let late = vec![(at(4501), notification("a", "undeliverable")), (at(4502), answered("a"))];
-    assert!(kinds(&end, late).contains(&ViolationKind::Lost));
-    // Unless its gateway was restarted meanwhile.
+    assert!(violation_kinds(&end, late).contains(&ViolationKind::Lost));
+    // A restart of the gateway extends the time for the final outcome.
     let restart = [
         (at(4002), PlatformEvent::GatewayDown { gateway: 0 }),
         (at(4003), PlatformEvent::GatewayReady { gateway: 0 }),
     ];
     let late = vec![(at(4080), notification("a", "undeliverable")), (at(4081), answered("a"))];
-    assert_eq!(kinds(&end, restart.into_iter().chain(late).collect()), []);
+    assert_eq!(violation_kinds(&end, restart.into_iter().chain(late).collect()), []);
 }
 
 #[test]
-fn late_response_is_no_end() {
+fn late_response_does_not_count_as_final_outcome() {
     let late = vec![(at(4001), PlatformEvent::LateResponse { id: "a".into() })];
     let end = [notification("a", "undeliverable"), answered("a")];
-    assert!(kinds(&end, late).contains(&ViolationKind::NoEnd));
+    assert!(violation_kinds(&end, late).contains(&ViolationKind::NoEnd));
 }
 
 #[test]
-fn reply_that_is_none_or_never_came_is_found() {
+fn wrong_reply_missing_reply_and_dropped_connection_are_reported() {
     let wrong = PlatformEvent::WrongReply { id: "a".into(), line: "+PONG".into() };
-    assert_eq!(kinds(&[], vec![(at(1), wrong)]), [ViolationKind::WrongReply]);
+    assert_eq!(violation_kinds(&[], vec![(at(1), wrong)]), [ViolationKind::WrongReply]);
     let unanswered = PlatformEvent::Unanswered { id: "c".into() };
-    assert_eq!(kinds(&[], vec![(at(1), unanswered)]), [ViolationKind::Lost]);
+    assert_eq!(violation_kinds(&[], vec![(at(1), unanswered)]), [ViolationKind::Lost]);
     let dropped = PlatformEvent::ConnectionDropped { id: "c".into() };
-    assert_eq!(kinds(&[], vec![(at(1), dropped)]), [ViolationKind::Dropped]);
+    assert_eq!(violation_kinds(&[], vec![(at(1), dropped)]), [ViolationKind::Dropped]);
 }
 
 #[test]
-fn message_sent_behind_its_end_or_refusal_is_found() {
-    assert!(kinds(&[], vec![(at(4060), request("a"))]).contains(&ViolationKind::ForwardedAfterEnd));
+fn request_after_final_outcome_or_rejection_is_reported() {
+    assert!(violation_kinds(&[], vec![(at(4060), request("a"))]).contains(&ViolationKind::ForwardedAfterEnd));
     let refused = vec![(at(20), PlatformEvent::Refused { id: "c".into() }), (at(30), request("c"))];
-    assert_eq!(kinds(&[], refused), [ViolationKind::RefusedAndForwarded]);
+    assert_eq!(violation_kinds(&[], refused), [ViolationKind::RefusedAndForwarded]);
 }
 
 #[test]
-fn second_request_against_the_class_is_found() {
-    assert!(kinds(&[], vec![(at(300), request("a"))]).contains(&ViolationKind::Duplicate));
+fn repeated_request_of_unrepeatable_message_is_reported() {
+    assert!(violation_kinds(&[], vec![(at(300), request("a"))]).contains(&ViolationKind::Duplicate));
 }
 
 #[test]
-fn message_given_up_early_without_a_request_is_found() {
+fn message_given_up_early_without_a_request_is_reported() {
     let early = vec![(at(100), notification("a", "deferred")), (at(101), answered("a"))];
     let usual = [request("a"), ended("a"), notification("a", "undeliverable"), answered("a")];
-    assert_eq!(kinds(&usual, early), [ViolationKind::EarlyGivenUp]);
+    assert_eq!(violation_kinds(&usual, early), [ViolationKind::EarlyGivenUp]);
 }
 
 #[test]
-fn next_message_of_a_key_sent_too_soon_is_found() {
+fn next_message_of_a_key_sent_too_soon_is_reported() {
     let next = [request("b"), delivered("b")];
-    // Ahead of the end of the one before, ahead of the answer to its notification, inside the rest.
+    // Sent before the previous message ended, before its notification was answered, and during the settle time.
     for (name, time) in [("running", 100), ("unanswered", 4000), ("resting", 4002)] {
         let soon = vec![(at(time), request("b")), (at(time + 1), delivered("b"))];
-        assert_eq!(kinds(&next, soon), [ViolationKind::OrderBroken], "{name}");
+        assert_eq!(violation_kinds(&next, soon), [ViolationKind::OrderBroken], "{name}");
     }
 }
 
 #[test]
-fn request_inside_a_retry_after_is_found() {
+fn request_during_retry_after_wait_is_reported() {
     let wait = |time| PlatformEvent::RetryAfter { id: "a".into(), endpoint: 0, wait: at(time) };
-    assert_eq!(kinds(&[], vec![(at(3500), wait(700))]), [ViolationKind::RetryAfterBroken]);
-    assert_eq!(kinds(&[], vec![(at(3500), wait(500))]), []);
-    // One that crosses the rejection, and a restart, are excused.
-    assert_eq!(kinds(&[], vec![(at(4000), wait(700))]), []);
+    assert_eq!(violation_kinds(&[], vec![(at(3500), wait(700))]), [ViolationKind::RetryAfterBroken]);
+    assert_eq!(violation_kinds(&[], vec![(at(3500), wait(500))]), []);
+    // A request that was already on its way when the rejection arrived is excused, and so is one after a restart.
+    assert_eq!(violation_kinds(&[], vec![(at(4000), wait(700))]), []);
     let down = PlatformEvent::GatewayDown { gateway: 0 };
-    assert_eq!(kinds(&[], vec![(at(3500), wait(700)), (at(3600), down)]), []);
+    assert_eq!(violation_kinds(&[], vec![(at(3500), wait(700)), (at(3600), down)]), []);
 }
 
 #[test]
-fn request_to_a_draining_endpoint_is_found() {
+fn request_to_a_draining_endpoint_is_reported() {
     let list = |draining: Vec<usize>| PlatformEvent::ListSent { address: 1, draining };
-    assert_eq!(kinds(&[], vec![(at(3000), list(vec![0]))]), [ViolationKind::DrainBroken]);
-    assert_eq!(kinds(&[], vec![(at(3100), list(vec![0]))]), []);
-    assert_eq!(kinds(&[], vec![(at(2000), list(vec![0])), (at(3000), list(vec![]))]), []);
-    // The next process has not been told.
+    assert_eq!(violation_kinds(&[], vec![(at(3000), list(vec![0]))]), [ViolationKind::DrainBroken]);
+    assert_eq!(violation_kinds(&[], vec![(at(3100), list(vec![0]))]), []);
+    assert_eq!(violation_kinds(&[], vec![(at(2000), list(vec![0])), (at(3000), list(vec![]))]), []);
+    // A restarted process has not received the endpoint list yet.
     let started = PlatformEvent::GatewayStarted { gateway: 0 };
-    assert_eq!(kinds(&[], vec![(at(2000), list(vec![0])), (at(3000), started)]), []);
+    assert_eq!(violation_kinds(&[], vec![(at(2000), list(vec![0])), (at(3000), started)]), []);
 }
 
 #[test]
-fn recovering_endpoint_pushed_over_by_those_who_knew_is_found() {
+fn overload_of_recovering_endpoint_is_reported_only_if_gateway_knew_of_the_outage() {
     let failed = PlatformEvent::EndpointFailed { endpoint: 0 };
     let returned = PlatformEvent::EndpointReturned { endpoint: 0 };
-    let outage = |told: bool| {
+    let violations = |gateway_knows_of_outage: bool| {
         let mut events = vec![(at(5000), failed.clone()), (at(7000), returned.clone())];
         for number in 0..14 {
             let id = format!("n{number}");
@@ -181,12 +183,12 @@
             events.push((at(7010 + number), request(&id)));
             events.push((at(7010 + number), PlatformEvent::Failed { id }));
         }
-        if told {
+        if gateway_knows_of_outage {
             events.extend([(at(4999), submitted("x")), (at(5001), request("x")), (at(5002), ended("x"))]);
         }
-        kinds(&[], events)
+        violation_kinds(&[], events)
     };
-    // Four requests in a window, and nine more for chance.
-    assert_eq!(outage(true), [ViolationKind::SlowStartBroken]);
-    assert_eq!(outage(false), []);
+    // 14 requests exceed the bound: four in a window, and nine more as statistical slack.
+    assert_eq!(violations(true), [ViolationKind::SlowStartBroken]);
+    assert_eq!(violations(false), []);
 }
--- a/crates/fakes/tests/limit.rs
+++ b/crates/fakes/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The shared limit: refusals, recovery, and how old the reported state may be.
+//! Tests of the shared rate limit: rejections, recovery, and the age of the advertised state.
 
 use cloverstile_fakes::limit::{LimitKind, LimitSettings, SharedLimit};
 use std::time::Duration;
@@ -30,15 +30,15 @@
     for _ in 0..10 {
         assert!(limit.try_acquire(ms(0)).is_ok());
     }
-    // At the limit's own rate each refused call eats what came in since.
+    // At the limit's own rate, each rejected request consumes the token that was refilled since the previous one.
     assert!((1..=20).all(|n| limit.try_acquire(ms(n * 100 - 1)).is_err()));
     assert!(limit.try_acquire(ms(4300)).is_ok());
 }
 
 #[test]
 fn fixed_window_refills_at_its_end_and_reports_the_wait() {
-    let counting = LimitKind::FixedWindow(ms(1000));
-    let mut limit = SharedLimit::new(LimitSettings { kind: counting, ..settings() }, 1);
+    let kind = LimitKind::FixedWindow(ms(1000));
+    let mut limit = SharedLimit::new(LimitSettings { kind, ..settings() }, 1);
     assert_eq!((0..12).filter(|_| limit.try_acquire(ms(300)).is_ok()).count(), 10);
     assert_eq!(limit.try_acquire(ms(400)), Err(ms(600)));
     assert!(limit.try_acquire(ms(1000)).is_ok());
--- a/crates/fakes/tests/model.rs
+++ b/crates/fakes/tests/model.rs
@@ -1,4 +1,4 @@
-//! The partner model: repeats, capacity, collapse after an outage, and faults.
+//! Tests of the partner model: deduplication, rate limit and queue, collapse after an outage, and faults.
 
 use cloverstile_fakes::model::{Fault, PartnerModel, Reply, ServerProfile};
 use rand::SeedableRng;
@@ -49,13 +49,13 @@
         overloaded.handle_request(seconds(1.0 + f64::from(i) / 1000.0), &i.to_string());
     }
     assert!(overloaded.has_collapsed());
-    let mut ramped = partner(profile);
-    ramped.begin_fault(Fault::Unavailable, seconds(1.0));
-    ramped.end_fault(seconds(1.0));
+    let mut gradual = partner(profile);
+    gradual.begin_fault(Fault::Unavailable, seconds(1.0));
+    gradual.end_fault(seconds(1.0));
     for i in 0..30 {
-        ramped.handle_request(seconds(1.0 + f64::from(i) / 6.0), &i.to_string());
+        gradual.handle_request(seconds(1.0 + f64::from(i) / 6.0), &i.to_string());
     }
-    assert!(!ramped.has_collapsed());
+    assert!(!gradual.has_collapsed());
 }
 
 #[test]
