--- a/crates/testbench/src/benchmark/workload.rs
+++ b/crates/testbench/src/benchmark/workload.rs
@@ -1,6 +1,6 @@
 //! The scenario that the benchmarks over sockets play: one gateway, one partner that is never the bottleneck.
 
-use crate::scenario::{read, FaultScenario, ScenarioError};
+use crate::scenario::{parse_scenario, FaultScenario, ScenarioError};
 
 const SCENARIO: &str = "messages = 1\nrate = 100000\ncouriers = 1\n\
     class \"pay-notice\" {\n share = 1\n effect = \"keyed\"\n window = 50\n aim = 20\n deadline = 60\n}\n\
@@ -8,5 +8,5 @@
 
 /// The scenario with so many messages.
 pub(super) fn scenario(messages: u32) -> Result<FaultScenario, ScenarioError> {
-    Ok(FaultScenario { messages, ..read(SCENARIO)? })
+    Ok(FaultScenario { messages, ..parse_scenario(SCENARIO)? })
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use cloverstile_simulator::SpilloverPolicy;
 use cloverstile_testbench::experiment::{run_experiment, Experiment, ExperimentRecord, NamedScenario};
-use cloverstile_testbench::html_report::{self, FILES, PAGE_FILE};
+use cloverstile_testbench::html_report::{self, PAGE_FILE, RECORD_FILES};
 use comfy_table::{presets::UTF8_BORDERS_ONLY, Table};
 use std::path::PathBuf;
 
@@ -64,7 +64,7 @@
     fn write(&self, record: &ExperimentRecord) -> Result<(), String> {
         std::fs::create_dir_all(&self.out).map_err(|error| format!("{}: {error}", self.out.display()))?;
         let tables = [&record.runs, &record.seconds, &record.windows, &record.classes];
-        for (table, file) in tables.into_iter().zip(FILES) {
+        for (table, file) in tables.into_iter().zip(RECORD_FILES) {
             table.write(&self.out.join(file)).map_err(|error| error.to_string())?;
         }
         Ok(())
@@ -82,8 +82,8 @@
 }
 
 fn print_json(record: &ExperimentRecord, scenario: &str) {
-    for row in html_report::rows(&record.runs, scenario) {
-        let headings = html_report::headings().into_iter().map(str::to_owned);
+    for row in html_report::summary_rows(&record.runs, scenario) {
+        let headings = html_report::summary_headings().into_iter().map(str::to_owned);
         let cells = headings.zip(row.into_iter().map(Into::into));
         let mut line: serde_json::Map<String, serde_json::Value> = cells.collect();
         line.insert("scenario".into(), scenario.into());
@@ -93,8 +93,8 @@
 
 fn print_table(record: &ExperimentRecord, scenario: &str, seeds: u64) {
     let mut table = Table::new();
-    table.load_preset(UTF8_BORDERS_ONLY).set_header(html_report::headings());
-    table.add_rows(html_report::rows(&record.runs, scenario));
+    table.load_preset(UTF8_BORDERS_ONLY).set_header(html_report::summary_headings());
+    table.add_rows(html_report::summary_rows(&record.runs, scenario));
     println!("{scenario}, {seeds} seeds\n{table}");
 }
 
--- a/crates/testbench/src/bin/cloverstile-testbench/main.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/main.rs
@@ -72,8 +72,8 @@
 
 fn main() -> ExitCode {
     let result = match Arguments::parse().command {
-        Command::Scenario(command) => command.play(),
-        Command::Replay(command) => command.play(),
+        Command::Scenario(command) => command.run(),
+        Command::Replay(command) => command.run(),
         Command::Simulate(command) => command.run(),
         Command::Experiment(command) => command.run(),
         Command::Fleet(command) => command.run(),
--- a/crates/testbench/src/bin/cloverstile-testbench/scenario.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scenario.rs
@@ -6,8 +6,8 @@
 use cloverstile_fakes::record::RecordLine;
 use cloverstile_testbench::invariants::{check_invariants, InvariantSettings};
 use cloverstile_testbench::replay::{self, ReplayScale};
-use cloverstile_testbench::scenario::{read, FaultScenario, BUILT_IN};
-use cloverstile_testbench::scenario_run::{play, GatewayCommand};
+use cloverstile_testbench::scenario::{parse_scenario, FaultScenario, BUILT_IN_SCENARIOS};
+use cloverstile_testbench::scenario_run::{run_scenario, GatewayCommand};
 use std::path::PathBuf;
 
 /// What is played.
@@ -77,27 +77,27 @@
 }
 
 fn load(name: &str) -> Result<FaultScenario, String> {
-    scenario_files::load(name, &BUILT_IN, read)
+    scenario_files::load(name, &BUILT_IN_SCENARIOS, parse_scenario)
 }
 
 impl ScenarioCommand {
     /// Plays all runs; true if no invariant was violated.
-    pub fn play(&self) -> Result<bool, String> {
-        self.options.play(load(&self.scenario)?)
+    pub fn run(&self) -> Result<bool, String> {
+        self.options.run(load(&self.scenario)?)
     }
 }
 
 impl ReplayCommand {
     /// Converts the day and plays all runs; true if no invariant was violated.
-    pub fn play(&self) -> Result<bool, String> {
+    pub fn run(&self) -> Result<bool, String> {
         let name = self.file.display();
         let text = std::fs::read_to_string(&self.file).map_err(|error| format!("{name}: {error}"))?;
         let scale = ReplayScale { rate: self.rate, speed: self.speed, ..ReplayScale::default() };
-        let replay = replay::read(&text, scale).map_err(|error| format!("{name}: {error}"))?;
+        let replay = replay::convert_bench_day(&text, scale).map_err(|error| format!("{name}: {error}"))?;
         for line in &replay.omissions {
             eprintln!("left out or changed: {line}");
         }
-        self.options.play(replay.scenario)
+        self.options.run(replay.scenario)
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl RunOptions {
-    fn play(&self, mut scenario: FaultScenario) -> Result<bool, String> {
+    fn run(&self, mut scenario: FaultScenario) -> Result<bool, String> {
         scenario.gateways = self.gateways.unwrap_or(scenario.gateways).max(1);
         scenario.workers = self.workers.unwrap_or(scenario.workers);
         scenario.messages = self.messages.unwrap_or(scenario.messages).max(1);
@@ -131,7 +131,8 @@
             let folder =
                 std::env::temp_dir().join(format!("cloverstile-testbench-{}-{seed}", std::process::id()));
             let bar = progress::bar(self.json, u64::from(scenario.messages), "answered");
-            let result = play(&scenario, seed, &folder, &command, &|done| bar.set_position(done as u64));
+            let result =
+                run_scenario(&scenario, seed, &folder, &command, &|done| bar.set_position(done as u64));
             bar.finish_and_clear();
             let result = result.map_err(|error| error.to_string())?;
             options.print_windows(&scenario, &result);
--- a/crates/testbench/src/fleet/invariants.rs
+++ b/crates/testbench/src/fleet/invariants.rs
@@ -69,7 +69,7 @@
 impl From<ClassSpec> for ClassContract {
     fn from(spec: ClassSpec) -> ClassContract {
         let repeats = match spec.effect.as_str() {
-            "safe" => RepeatRule::Harmless,
+            "safe" => RepeatRule::Always,
             "keyed" => RepeatRule::Within(Duration::from_secs_f64(spec.retry_window)),
             _ => RepeatRule::Forbidden,
         };
--- a/crates/testbench/src/html_report.rs
+++ b/crates/testbench/src/html_report.rs
@@ -3,7 +3,7 @@
 mod figures;
 mod plot;
 
-pub use figures::{headings, rows};
+pub use figures::{summary_headings, summary_rows};
 
 use crate::table::{Table, TableError};
 use figures::{class_rows, CLASS_HEADINGS};
@@ -13,7 +13,7 @@
 use std::path::Path;
 
 /// Names of the record's files in its folder: runs, seconds, windows and classes.
-pub const FILES: [&str; 4] = ["runs.parquet", "seconds.parquet", "windows.parquet", "classes.parquet"];
+pub const RECORD_FILES: [&str; 4] = ["runs.parquet", "seconds.parquet", "windows.parquet", "classes.parquet"];
 /// Name of the optional file of the cost of a decision by the number of endpoints.
 pub const SCALE_FILE: &str = "scale.parquet";
 /// Name of the page.
@@ -57,7 +57,7 @@
 
 impl Tables {
     fn read(folder: &Path) -> Result<Tables, TableError> {
-        let [runs, seconds, windows, classes] = FILES.map(|file| Table::read(&folder.join(file)));
+        let [runs, seconds, windows, classes] = RECORD_FILES.map(|file| Table::read(&folder.join(file)));
         Ok(Tables { runs: runs?, seconds: seconds?, windows: windows?, classes: classes? })
     }
 }
@@ -95,7 +95,7 @@
 ) -> Result<(), ReportError> {
     let seeds: BTreeSet<u64> = tables.runs.number_column("seed").iter().map(|seed| *seed as u64).collect();
     let _ = write!(page, "<h2>{scenario}</h2>\n<p>{} seeds.</p>\n", seeds.len());
-    page.push_str(&html_table(&headings(), &rows(&tables.runs, scenario)));
+    page.push_str(&html_table(&summary_headings(), &summary_rows(&tables.runs, scenario)));
     for (name, plot) in scenario_plots(tables, scenario) {
         let svg = plot.to_svg()?;
         write_file(&folder.join(format!("{}-{name}.svg", scenario.replace(['/', '.'], "-"))), &svg)?;
--- a/crates/testbench/src/html_report/figures.rs
+++ b/crates/testbench/src/html_report/figures.rs
@@ -50,7 +50,7 @@
 
 /// The figures of a scenario as rows: policy, mean and interval of each figure, and the lead of the policy `planner`
 /// over each other on the worst ten seconds, seed by seed.
-pub fn rows(runs: &Table, scenario: &str) -> Vec<Vec<String>> {
+pub fn summary_rows(runs: &Table, scenario: &str) -> Vec<Vec<String>> {
     let policies: BTreeSet<&String> = runs.text_column("policy").iter().collect();
     let own = column_values(runs, scenario, OWN_POLICY, LEAD_COLUMN);
     let row = |policy: &String| {
@@ -68,8 +68,8 @@
     policies.into_iter().map(row).collect()
 }
 
-/// Headings of [`rows`].
-pub fn headings() -> Vec<&'static str> {
+/// Headings of [`summary_rows`].
+pub fn summary_headings() -> Vec<&'static str> {
     let figures = FIGURES.iter().map(|figure| figure.heading);
     std::iter::once("policy").chain(figures).chain(["planner's lead, worst 10 s"]).collect()
 }
--- a/crates/testbench/src/invariants/repeats.rs
+++ b/crates/testbench/src/invariants/repeats.rs
@@ -80,13 +80,13 @@
     if !class.repeats.permits(since_first) {
         let what = match class.repeats {
             RepeatRule::Forbidden => "an unsafe message sent again though it may have run",
-            RepeatRule::Harmless | RepeatRule::Within(_) => "repeated after its window",
+            RepeatRule::Always | RepeatRule::Within(_) => "repeated after its window",
         };
         report.violation(Invariant::AtMostOnce, id, repeat.at, what);
     }
     let zone =
         |request: &Request| settings.partners.get(request.partner)?.zones.get(request.endpoint).copied();
-    let is_bound_to_zone = class.by_zone && matches!(class.repeats, RepeatRule::Within(_));
+    let is_bound_to_zone = class.same_zone_only && matches!(class.repeats, RepeatRule::Within(_));
     if is_bound_to_zone && zone(first) != zone(repeat) {
         report.violation(Invariant::AtMostOnce, id, repeat.at, "repeated outside its group");
     }
--- a/crates/testbench/src/invariants/settings.rs
+++ b/crates/testbench/src/invariants/settings.rs
@@ -16,7 +16,7 @@
     /// When a message may be sent again.
     pub repeats: RepeatRule,
     /// Repeats must stay among endpoints of one zone.
-    pub by_zone: bool,
+    pub same_zone_only: bool,
     /// Messages of one key are delivered in order.
     pub ordered: bool,
 }
@@ -24,7 +24,7 @@
 impl ClassRule {
     /// A repeat has no further effect.
     pub(super) fn is_safe(&self) -> bool {
-        self.repeats == RepeatRule::Harmless
+        self.repeats == RepeatRule::Always
     }
 }
 
@@ -32,11 +32,11 @@
     fn from(class: &ClassSettings) -> ClassRule {
         ClassRule {
             repeats: match class.effect.as_str() {
-                "safe" => RepeatRule::Harmless,
+                "safe" => RepeatRule::Always,
                 "keyed" => RepeatRule::Within(Duration::from_micros((class.retry_window * 1e6) as u64)),
                 _ => RepeatRule::Forbidden,
             },
-            by_zone: class.group == "zone",
+            same_zone_only: class.group == "zone",
             ordered: class.ordered,
         }
     }
--- a/crates/testbench/src/repeat_rule.rs
+++ b/crates/testbench/src/repeat_rule.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
     /// A repeat has no further effect (safe messages).
-    Harmless,
+    Always,
     /// The receiver drops repeats for this long after the first request (keyed messages).
     Within(Duration),
     /// A message that may have run must not be sent again (unsafe messages).
@@ -18,7 +18,7 @@
     #[must_use]
     pub fn permits(self, since_first: Duration) -> bool {
         match self {
-            RepeatRule::Harmless => true,
+            RepeatRule::Always => true,
             RepeatRule::Within(window) => since_first <= window,
             RepeatRule::Forbidden => false,
         }
--- a/crates/testbench/src/replay.rs
+++ b/crates/testbench/src/replay.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// The text is not a day of the bench, or the converted scenario is invalid.
-pub fn read(text: &str, scale: ReplayScale) -> Result<Replay, ScenarioError> {
+pub fn convert_bench_day(text: &str, scale: ReplayScale) -> Result<Replay, ScenarioError> {
     let day: BenchDay =
         serde_json::from_str(text).map_err(|error| ScenarioError::Invalid(error.to_string()))?;
     let mut omissions = vec![describe_scaling(&day, scale)];
--- a/crates/testbench/src/scenario.rs
+++ b/crates/testbench/src/scenario.rs
@@ -11,7 +11,7 @@
 pub use settings::{ClassSettings, FaultScenario, FaultSettings, PartnerSettings, RuleSettings};
 
 /// Scenarios that come with the program, by name.
-pub const BUILT_IN: [(&str, &str); 4] = [
+pub const BUILT_IN_SCENARIOS: [(&str, &str); 4] = [
     ("payday", include_str!("../days/payday.hcl")),
     ("quiet", include_str!("../days/quiet.hcl")),
     ("zone", include_str!("../days/zone.hcl")),
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// The text is no HCL, a value is missing or out of its range, or a fault names what does not exist.
-pub fn read(text: &str) -> Result<FaultScenario, ScenarioError> {
+pub fn parse_scenario(text: &str) -> Result<FaultScenario, ScenarioError> {
     let scenario: FaultScenario =
         hcl::from_str(text).map_err(|error| ScenarioError::Invalid(error.to_string()))?;
     if scenario.messages == 0
--- a/crates/testbench/src/scenario_run.rs
+++ b/crates/testbench/src/scenario_run.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// The test cluster can't be set up, a gateway does not start or exits by itself, or a client fails.
-pub fn play(
+pub fn run_scenario(
     scenario: &FaultScenario,
     seed: u64,
     folder: &Path,
--- a/crates/testbench/tests/invariants.rs
+++ b/crates/testbench/tests/invariants.rs
@@ -12,13 +12,13 @@
 const MS: u64 = 1000;
 
 fn settings() -> InvariantSettings {
-    let class = |repeats, by_zone, ordered| ClassRule { repeats, by_zone, ordered };
+    let class = |repeats, same_zone_only, ordered| ClassRule { repeats, same_zone_only, ordered };
     let window = RepeatRule::Within(Duration::from_millis(2000));
     InvariantSettings {
         classes: HashMap::from([
             ("pay".into(), class(RepeatRule::Forbidden, false, false)),
             ("notice".into(), class(window, true, true)),
-            ("status".into(), class(RepeatRule::Harmless, false, false)),
+            ("status".into(), class(RepeatRule::Always, false, false)),
         ]),
         partners: HashMap::from([("bank".into(), PartnerRule { capacity: 20.0, zones: vec![0, 1] })]),
         answer_slack: 100 * MS,
--- a/crates/testbench/tests/replay.rs
+++ b/crates/testbench/tests/replay.rs
@@ -1,7 +1,7 @@
 //! A bench day becomes a fault scenario; what can't be played is listed.
 
 use cloverstile_fakes::model::Fault;
-use cloverstile_testbench::replay::{read, ReplayScale};
+use cloverstile_testbench::replay::{convert_bench_day, ReplayScale};
 use cloverstile_testbench::scenario::FaultEvent;
 use serde_json::json;
 use std::time::Duration;
@@ -39,9 +39,11 @@
 
 #[test]
 fn replay_scales_sizes_and_times_and_keeps_the_utilization_of_partners() {
-    let replay =
-        read(&bench_day(&json!([])), ReplayScale { rate: 200.0, speed: 3.0, ..ReplayScale::default() })
-            .unwrap();
+    let replay = convert_bench_day(
+        &bench_day(&json!([])),
+        ReplayScale { rate: 200.0, speed: 3.0, ..ReplayScale::default() },
+    )
+    .unwrap();
     let scenario = &replay.scenario;
     assert_eq!((scenario.messages, scenario.gateways, scenario.partners.len()), (2000, 3, 2));
     assert_eq!((scenario.classes["pay"].deadline, scenario.classes["note"].retry_window), (8.0, 3.0));
@@ -69,7 +71,8 @@
         ("heavy_tail", 9.0, None),
     ] {
         let replay =
-            read(&bench_day(&json!([bench_fault(kind, size, &[1])])), ReplayScale::default()).unwrap();
+            convert_bench_day(&bench_day(&json!([bench_fault(kind, size, &[1])])), ReplayScale::default())
+                .unwrap();
         let schedule = replay.scenario.fault_schedule().unwrap();
         assert_eq!(schedule.first().map(|played| played.event), event, "{kind}");
         if let Some(played) = schedule.first() {
@@ -79,7 +82,8 @@
         }
     }
     let elsewhere =
-        read(&bench_day(&json!([bench_fault("hang", 0.0, &[])])), ReplayScale::default()).unwrap();
+        convert_bench_day(&bench_day(&json!([bench_fault("hang", 0.0, &[])])), ReplayScale::default())
+            .unwrap();
     assert!(elsewhere.omissions.iter().any(|line| line.contains("strikes none")));
-    assert!(read("{}", ReplayScale::default()).is_err());
+    assert!(convert_bench_day("{}", ReplayScale::default()).is_err());
 }
--- a/crates/testbench/tests/socket_scenarios.rs
+++ b/crates/testbench/tests/socket_scenarios.rs
@@ -1,23 +1,23 @@
 //! Hard cases, each a small fault scenario over sockets with real gateway processes, checked from the records.
 
 use cloverstile_fakes::record::{ObservedEvent, ReportedOutcome, RequestEnd};
-use cloverstile_testbench::scenario::read;
-use cloverstile_testbench::scenario_run::{play, GatewayCommand, RunResult};
+use cloverstile_testbench::scenario::parse_scenario;
+use cloverstile_testbench::scenario_run::{run_scenario, GatewayCommand, RunResult};
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Scenarios are played one after another: on two cores they would slow each other down.
+/// Scenarios are run one after another: on two cores they would slow each other down.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 /// Plays a scenario and demands that every message is answered and no invariant is violated.
-fn play_scenario(name: &str, text: &str) -> RunResult {
+fn run_and_check(name: &str, text: &str) -> RunResult {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
-    let scenario = read(text).unwrap();
+    let scenario = parse_scenario(text).unwrap();
     let folder = std::env::temp_dir().join(format!("cloverstile-test-{}-{name}", std::process::id()));
     let command =
         GatewayCommand { program: env!("CARGO_BIN_EXE_cloverstile-testbench").into(), log: "error".into() };
-    let played = play(&scenario, 5, &folder, &command, &|_| {}).unwrap();
-    let report = &played.report;
+    let run = run_scenario(&scenario, 5, &folder, &command, &|_| {}).unwrap();
+    let report = &run.report;
     assert!(report.violations.is_empty(), "{:?}", &report.violations[..report.violations.len().min(5)]);
     assert_eq!(
         report.answered + report.lost_with_gateway + report.never_accepted,
@@ -25,12 +25,12 @@
         "{report:?}"
     );
     assert_eq!(report.messages, scenario.messages as usize);
-    played
+    run
 }
 
-fn requests(played: &RunResult) -> HashMap<&str, Vec<(u64, usize, u64)>> {
+fn requests(run: &RunResult) -> HashMap<&str, Vec<(u64, usize, u64)>> {
     let mut all: HashMap<&str, Vec<(u64, usize, u64)>> = HashMap::new();
-    for line in &played.lines {
+    for line in &run.lines {
         if let ObservedEvent::RequestReceived { id, endpoint, request: call, .. } = &line.event {
             all.entry(id).or_default().push((line.at, *endpoint, *call));
         }
@@ -52,17 +52,17 @@
 fn unsafe_messages_fail_at_a_partner_that_never_answers() {
     let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
                    trouble \"x\" {\n kind = \"silent\"\n partner = \"bank\"\n at = 0.4\n lasts = 1.5\n}\n";
-    let played = play_scenario("silent", &script(80, 60.0, &format!("{UNSAFE}{trouble}")));
-    assert!(played.report.failed > 0 && played.report.delivered > 0, "{:?}", played.report);
+    let run = run_and_check("silent", &script(80, 60.0, &format!("{UNSAFE}{trouble}")));
+    assert!(run.report.failed > 0 && run.report.delivered > 0, "{:?}", run.report);
 }
 
 #[test]
 fn unsafe_message_with_a_truncated_answer_fails_and_is_never_retried() {
     let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
                    trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.5\n partner = \"bank\"\n at = 0\n lasts = 9\n}\n";
-    let played = play_scenario("lost", &script(60, 80.0, &format!("{UNSAFE}{trouble}")));
-    assert!(played.report.failed > 10, "{:?}", played.report);
-    assert!(requests(&played).values().all(|tries| tries.len() == 1));
+    let run = run_and_check("lost", &script(60, 80.0, &format!("{UNSAFE}{trouble}")));
+    assert!(run.report.failed > 10, "{:?}", run.report);
+    assert!(requests(&run).values().all(|tries| tries.len() == 1));
 }
 
 #[test]
@@ -73,13 +73,13 @@
              trouble \"x\" {{\n kind = \"lose-answers\"\n size = {size}\n partner = \"bank\"\n at = 0\n lasts = {lasts}\n}}\n"
         )
     };
-    let inside = play_scenario("inside", &script(60, 80.0, &format!("{KEYED}{}", trouble(0.4, 9.0))));
+    let inside = run_and_check("inside", &script(60, 80.0, &format!("{KEYED}{}", trouble(0.4, 9.0))));
     assert!(
         inside.report.requests > inside.report.messages && inside.report.delivered > 50,
         "{:?}",
         inside.report
     );
-    let outside = play_scenario("outside", &script(40, 80.0, &format!("{KEYED}{}", trouble(1.0, 20.0))));
+    let outside = run_and_check("outside", &script(40, 80.0, &format!("{KEYED}{}", trouble(1.0, 20.0))));
     // Messages never sent during the detected outage are rejected; those sent have failed.
     assert_eq!(outside.report.delivered, 0, "{:?}", outside.report);
     assert!(outside.report.failed > 5, "{:?}", outside.report);
@@ -90,10 +90,9 @@
     let class = KEYED.replace("effect", "group = \"zone\"\n effect");
     let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n zones = [0, 1]\n endpoints = 2\n}\n\
                    trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.5\n partner = \"bank\"\n at = 0\n lasts = 9\n}\n";
-    let played = play_scenario("group", &script(60, 80.0, &format!("{class}{trouble}")));
-    assert!(played.report.requests > played.report.messages, "{:?}", played.report);
-    let first: std::collections::HashSet<usize> =
-        requests(&played).values().map(|tries| tries[0].1).collect();
+    let run = run_and_check("group", &script(60, 80.0, &format!("{class}{trouble}")));
+    assert!(run.report.requests > run.report.messages, "{:?}", run.report);
+    let first: std::collections::HashSet<usize> = requests(&run).values().map(|tries| tries[0].1).collect();
     assert_eq!(first.len(), 2, "both zones were used");
 }
 
@@ -110,8 +109,8 @@
         let trouble = format!(
             "trouble \"x\" {{\n kind = \"{kind}\"\n size = {size}\n partner = \"bank\"\n at = 0\n lasts = 20\n}}\n"
         );
-        let played = play_scenario(kind, &script(40, 60.0, &format!("{UNSAFE}{partner}{trouble}")));
-        let to_bank: Vec<&str> = played
+        let run = run_and_check(kind, &script(40, 60.0, &format!("{UNSAFE}{partner}{trouble}")));
+        let to_bank: Vec<&str> = run
             .lines
             .iter()
             .filter_map(|line| match &line.event {
@@ -119,7 +118,7 @@
                 _ => None,
             })
             .collect();
-        for line in &played.lines {
+        for line in &run.lines {
             if let ObservedEvent::OutcomeReceived { id, outcome, .. } = &line.event {
                 if to_bank.contains(&id.as_str()) {
                     assert_eq!(*outcome == ReportedOutcome::Delivered, delivered, "{kind}: {id} {outcome:?}");
@@ -132,8 +131,8 @@
 #[test]
 fn resubmission_after_a_dropped_connection_gets_the_one_outcome() {
     let rest = "drops = 1\npartner \"bank\" {\n share = 1\n servers = 8\n}\n";
-    let played = play_scenario("drops", &script(60, 80.0, &format!("{rest}{UNSAFE}")));
-    assert_eq!((played.report.delivered, played.report.requests), (60, 60), "{:?}", played.report);
+    let run = run_and_check("drops", &script(60, 80.0, &format!("{rest}{UNSAFE}")));
+    assert_eq!((run.report.delivered, run.report.requests), (60, 60), "{:?}", run.report);
 }
 
 #[test]
@@ -142,9 +141,9 @@
     // Errors begin an outage with single probe requests: with a short deadline the last of the twenty is rejected untried
     // on a busy machine.
     let patient = UNSAFE.replace("deadline = 2.5", "deadline = 12");
-    let played = play_scenario("mismatch", &script(20, 60.0, &format!("{patient}{rest}")));
-    assert_eq!(played.report.failed, 20, "{:?}", played.report);
-    assert!(!played.lines.iter().any(|line| matches!(line.event, ObservedEvent::EffectApplied { .. })));
+    let run = run_and_check("mismatch", &script(20, 60.0, &format!("{patient}{rest}")));
+    assert_eq!(run.report.failed, 20, "{:?}", run.report);
+    assert!(!run.lines.iter().any(|line| matches!(line.event, ObservedEvent::EffectApplied { .. })));
 }
 
 #[test]
@@ -152,15 +151,15 @@
     let rest = "partner \"bank\" {\n share = 1\n servers = 40\n service_ms = [250, 50]\n}\n\
                 trouble \"x\" {\n kind = \"drain\"\n partner = \"bank\"\n endpoint = 1\n at = 0.6\n lasts = 3\n}\n";
     // With threads: a signal that one of them takes by itself would end the gateway.
-    let played = play_scenario("drain", &script(120, 60.0, &format!("workers = 2\n{UNSAFE}{rest}")));
-    let drained = played.lines.iter().find_map(|line| match line.event {
+    let run = run_and_check("drain", &script(120, 60.0, &format!("workers = 2\n{UNSAFE}{rest}")));
+    let drained = run.lines.iter().find_map(|line| match line.event {
         ObservedEvent::EndpointListed { ready: false, .. } => Some(line.at),
         _ => None,
     });
     let drained = drained.expect("a drain");
-    let requests = requests(&played);
+    let requests = requests(&run);
     let ended = |call: u64| {
-        played.lines.iter().find_map(|line| match line.event {
+        run.lines.iter().find_map(|line| match line.event {
             ObservedEvent::RequestEnded { request: other, end: how } if other == call => Some((line.at, how)),
             _ => None,
         })
@@ -181,8 +180,8 @@
 #[test]
 fn retry_after_is_honoured_for_every_message() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 20\n limit = 15\n tells_wait = true\n}\n";
-    let played = play_scenario("wait", &script(150, 60.0, &format!("{KEYED}{rest}")));
-    let waits = played.lines.iter().filter(|line| {
+    let run = run_and_check("wait", &script(150, 60.0, &format!("{KEYED}{rest}")));
+    let waits = run.lines.iter().filter(|line| {
         matches!(line.event, ObservedEvent::RequestEnded { end: RequestEnd::Rejected(Some(_)), .. })
     });
     assert!(waits.count() > 0);
@@ -192,37 +191,41 @@
 fn ordered_messages_wait_behind_a_request_of_unknown_outcome() {
     let rest = "partner \"hr\" {\n share = 1\n servers = 8\n}\n\
                 trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.3\n partner = \"hr\"\n at = 0\n lasts = 9\n}\n";
-    let played = play_scenario("order", &script(80, 60.0, &format!("{ORDERED}{rest}")));
-    assert!(played.report.requests > played.report.messages, "{:?}", played.report);
+    let run = run_and_check("order", &script(80, 60.0, &format!("{ORDERED}{rest}")));
+    assert!(run.report.requests > run.report.messages, "{:?}", run.report);
 }
 
 #[test]
 fn graceful_shutdown_at_full_load_answers_all_held_messages() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 30\n service_ms = [100, 100]\n}\n\
                 trouble \"x\" {\n kind = \"stop\"\n courier = 1\n at = 0.8\n lasts = 5\n}\n";
-    let played = play_scenario("stop", &script(200, 100.0, &format!("{UNSAFE}{rest}")));
-    let stopped = played.lines.iter().any(|line| {
+    let run = run_and_check("stop", &script(200, 100.0, &format!("{UNSAFE}{rest}")));
+    let stopped = run.lines.iter().any(|line| {
         matches!(line.event, ObservedEvent::GatewayProcess { gateway: 1, running: false, killed: false })
     });
     assert!(stopped, "it exited after the graceful shutdown");
-    assert_eq!(played.report.failed, 0, "{:?}", played.report);
+    assert_eq!(run.report.failed, 0, "{:?}", run.report);
 }
 
 #[test]
 fn scaled_down_payday_violates_no_invariant() {
-    let payday = cloverstile_testbench::scenario::BUILT_IN[0].1;
+    let payday = cloverstile_testbench::scenario::BUILT_IN_SCENARIOS[0].1;
     let text = payday.replace("messages = 5000", "messages = 1500").replace("rate     = 380", "rate = 150");
-    let played = play_scenario("payday", &text);
-    assert!(played.report.delivered > 1300, "{:?}", played.report);
+    let run = run_and_check("payday", &text);
+    assert!(run.report.delivered > 1300, "{:?}", run.report);
 }
 
 #[test]
 fn lost_zone_spills_its_share_in_every_second_and_recovers_gradually() {
-    let zone = cloverstile_testbench::scenario::BUILT_IN.iter().find(|(name, _)| *name == "zone").unwrap().1;
+    let zone = cloverstile_testbench::scenario::BUILT_IN_SCENARIOS
+        .iter()
+        .find(|(name, _)| *name == "zone")
+        .unwrap()
+        .1;
     let text = zone.replace("messages = 3000", "messages = 2000");
-    let played = play_scenario("zone", &text);
-    let requests = requests(&played);
-    let answers: HashMap<&str, u64> = played
+    let run = run_and_check("zone", &text);
+    let requests = requests(&run);
+    let answers: HashMap<&str, u64> = run
         .lines
         .iter()
         .filter_map(|line| match &line.event {
@@ -233,7 +236,7 @@
     // Of each second: messages submitted or still waiting for the bank, and those that first reached its second site.
     let mut seconds: HashMap<u64, (f64, f64)> = HashMap::new();
     let mut seen = std::collections::HashSet::new();
-    for line in &played.lines {
+    for line in &run.lines {
         let ObservedEvent::Submitted { id, .. } = &line.event else { continue };
         if seen.insert(id.as_str()) {
             let tries = requests.get(id.as_str()).map_or(&[][..], Vec::as_slice);
@@ -252,7 +255,7 @@
         assert!(*spills <= all * 0.3 + 3.0, "second {second}: {spills} of {all}");
     }
     assert!(seconds.values().any(|(all, spills)| *spills > all * 0.2), "{seconds:?}");
-    assert!(played.report.delivered > 1950, "{:?}", played.report);
+    assert!(run.report.delivered > 1950, "{:?}", run.report);
 }
 
 #[test]
@@ -264,9 +267,9 @@
         partner \"bank\" {\n share = 1\n servers = 3\n endpoints = 4\n zones = [0, 0, 1, 1]\n spill_share = 0.4\n}\n\
         trouble \"gone\" {\n kind = \"refuse\"\n partner = \"bank\"\n zone = 0\n at = 3\n lasts = 4\n}\n\
         trouble \"surge\" {\n kind = \"burst\"\n at = 6\n lasts = 5\n size = 1.4\n}\n";
-    let played = play_scenario("return", text);
+    let run = run_and_check("return", text);
     let windows =
-        cloverstile_testbench::recovery_windows::recovery_windows(&read(text).unwrap(), &played.lines);
+        cloverstile_testbench::recovery_windows::recovery_windows(&parse_scenario(text).unwrap(), &run.lines);
     assert!(windows.len() >= 70, "{} windows", windows.len());
     let received: u32 = windows.iter().map(|window| window.received).sum();
     assert!(received > 200, "{received} requests at the returning site");
