--- a/crates/fault-injection/examples/preload/control.rs
+++ b/crates/fault-injection/examples/preload/control.rs
@@ -1,4 +1,4 @@
-//! The mapped control file: which fault a call meets.
+//! The mapped control file: selects the fault of each call and applies it.
 
 use cloverstile_fault_injection::{rule_offset, Call, CONTROL_BYTES, CONTROL_VARIABLE, MAX_RULES};
 use std::ffi::CString;
@@ -6,31 +6,43 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// What a call meets.
+/// The fault that applies to one call.
 #[derive(Clone, Copy)]
 pub enum Fault {
     None,
+    /// Fails with this error number.
     Error(i32),
+    /// Transfers at most this many bytes.
     Short(usize),
-    Torn { bytes: usize, errno: i32 },
+    /// Transfers at most this many bytes and fails all the same.
+    Torn {
+        bytes: usize,
+        errno: i32,
+    },
+    /// Waits for this many nanoseconds.
     Delay(u64),
-    Kill { bytes: usize },
+    /// Transfers at most this many bytes and kills the process.
+    Kill {
+        bytes: usize,
+    },
 }
 
-struct Control(*const u8);
-// SAFETY: the mapping lives as long as the process and is read and changed by atomic operations alone.
-unsafe impl Send for Control {}
-// SAFETY: as above.
-unsafe impl Sync for Control {}
-
-fn control() -> Option<&'static Control> {
-    static CONTROL: OnceLock<Option<Control>> = OnceLock::new();
-    CONTROL.get_or_init(map).as_ref()
+/// Start of the mapped control file.
+struct MappedControl(*const u8);
+// SAFETY: the mapping exists as long as the process and is accessed only with atomic operations.
+unsafe impl Send for MappedControl {}
+// SAFETY: the same reason as for `Send`.
+unsafe impl Sync for MappedControl {}
+
+/// The control file, mapped at the first call; none if the process was started without one or it can't be mapped.
+fn control() -> Option<&'static MappedControl> {
+    static CONTROL: OnceLock<Option<MappedControl>> = OnceLock::new();
+    CONTROL.get_or_init(map_control_file).as_ref()
 }
 
-fn map() -> Option<Control> {
+fn map_control_file() -> Option<MappedControl> {
     let name = CString::new(CONTROL_VARIABLE).ok()?;
-    // SAFETY: plain calls of the C library with valid strings; the mapping is checked and never unmapped.
+    // SAFETY: the strings that are passed to the C library are valid; the result of mmap is checked and never unmapped.
     unsafe {
         let path = libc::getenv(name.as_ptr());
         if path.is_null() {
@@ -43,26 +55,27 @@
         let protection = libc::PROT_READ | libc::PROT_WRITE;
         let mapped = libc::mmap(ptr::null_mut(), CONTROL_BYTES, protection, libc::MAP_SHARED, descriptor, 0);
         libc::close(descriptor);
-        (mapped != libc::MAP_FAILED).then_some(Control(mapped.cast()))
+        (mapped != libc::MAP_FAILED).then_some(MappedControl(mapped.cast()))
     }
 }
 
-impl Control {
+impl MappedControl {
     fn word(&self, offset: usize) -> &AtomicU64 {
-        // SAFETY: all offsets used are inside the mapping and multiples of eight; both sides use whole words.
+        // SAFETY: all offsets in use are inside the mapping and multiples of eight, and both processes access whole words.
         unsafe { &*self.0.add(offset).cast::<AtomicU64>() }
     }
 
-    fn fault(&self, call: Call) -> Fault {
-        for rule in 0..MAX_RULES {
-            let word = |index: usize| self.word(rule_offset(rule) + index * 8);
-            if word(0).load(Ordering::Acquire) != call as u64 || !take(word(5), word(6)) {
+    /// The fault of the first rule that applies to a call.
+    fn next_fault(&self, call: Call) -> Fault {
+        for slot in 0..MAX_RULES {
+            let word = |index: usize| self.word(rule_offset(slot) + index * 8);
+            if word(0).load(Ordering::Acquire) != call as u64 || !count_call(word(5), word(6)) {
                 continue;
             }
             word(7).fetch_add(1, Ordering::Relaxed);
-            let [kind, errno, bytes, delay] = [1, 2, 3, 4].map(|index| word(index).load(Ordering::Relaxed));
+            let [effect, errno, bytes, delay] = [1, 2, 3, 4].map(|index| word(index).load(Ordering::Relaxed));
             let (errno, bytes) = (errno as i32, bytes as usize);
-            return match kind {
+            return match effect {
                 1 => Fault::Error(errno),
                 2 => Fault::Short(bytes),
                 3 => Fault::Torn { bytes, errno },
@@ -75,8 +88,8 @@
     }
 }
 
-/// Counts a call of a rule; whether it is affected.
-fn take(skip: &AtomicU64, left: &AtomicU64) -> bool {
+/// Counts a call that a rule is for; returns whether the rule affects it.
+fn count_call(skip: &AtomicU64, left: &AtomicU64) -> bool {
     let decrement = |value: u64| value.checked_sub(1);
     if skip.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).is_ok() {
         return false;
@@ -85,45 +98,45 @@
     left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement_finite).is_ok()
 }
 
-/// Whether this process has a control file at all.
-pub fn is_controlled() -> bool {
+/// Whether this process has a control file.
+pub fn has_control_file() -> bool {
     control().is_some()
 }
 
-/// The fault that a call meets now.
-pub fn fault(call: Call) -> Fault {
-    control().map_or(Fault::None, |control| control.fault(call))
+/// Selects the fault for a call that is about to be made, and counts the call for the rules.
+pub fn next_fault(call: Call) -> Fault {
+    control().map_or(Fault::None, |control| control.next_fault(call))
 }
 
-/// How far the wall clock is ahead of the machine's, in nanoseconds.
+/// How far the process's wall clock is ahead of the system clock, in nanoseconds; negative if it is behind.
 pub fn wall_clock_offset() -> i64 {
     control().map_or(0, |control| {
         let word = control.word(cloverstile_fault_injection::WALL_CLOCK_OFFSET);
-        // SAFETY: a word of 64 bits, read as signed.
+        // SAFETY: AtomicU64 and AtomicI64 have the same size and alignment, and every bit pattern is valid for both.
         unsafe { &*ptr::from_ref(word).cast::<AtomicI64>() }.load(Ordering::Relaxed)
     })
 }
 
-/// Fails a call.
+/// Sets `errno` and returns the result of a failed call.
 pub fn fail(errno: i32) -> isize {
-    // SAFETY: the thread's own error number.
+    // SAFETY: the pointer to the calling thread's errno is always valid.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// Waits, without a function that is replaced.
-pub fn pause(nanoseconds: u64) {
+/// Sleeps without calling a function that this library replaces.
+pub fn sleep(nanoseconds: u64) {
     let time = libc::timespec {
         tv_sec: (nanoseconds / 1_000_000_000) as i64,
         tv_nsec: (nanoseconds % 1_000_000_000) as i64,
     };
-    // SAFETY: a valid time, and no remainder wanted.
+    // SAFETY: the time is valid, and a null pointer means that the remaining time is not returned.
     unsafe { libc::nanosleep(&raw const time, ptr::null_mut()) };
 }
 
-/// Kills the process, as the platform does.
+/// Kills the process with SIGKILL, as the platform does.
 pub fn kill() -> ! {
-    // SAFETY: the process's own id.
+    // SAFETY: the process sends the signal to itself, and `pause` has no preconditions.
     unsafe {
         libc::kill(libc::getpid(), libc::SIGKILL);
         loop {
@@ -132,35 +145,35 @@
     }
 }
 
-/// Does a call that moves `length` bytes by way of `real`, as its fault says.
-pub fn transfer(fault: Fault, length: usize, real: impl Fn(usize) -> isize) -> isize {
+/// Makes a call of the original function that transfers `length` bytes, changed as the fault says.
+pub fn call_with_length(fault: Fault, length: usize, original: impl Fn(usize) -> isize) -> isize {
     match fault {
-        Fault::None => real(length),
+        Fault::None => original(length),
         Fault::Error(errno) => fail(errno),
-        Fault::Short(bytes) => real(length.min(bytes.max(1))),
+        Fault::Short(bytes) => original(length.min(bytes.max(1))),
         Fault::Torn { bytes, errno } => {
             if bytes > 0 {
-                real(length.min(bytes));
+                original(length.min(bytes));
             }
             fail(errno)
         }
         Fault::Delay(nanoseconds) => {
-            pause(nanoseconds);
-            real(length)
+            sleep(nanoseconds);
+            original(length)
         }
         Fault::Kill { bytes } => {
             if bytes > 0 {
-                real(length.min(bytes));
+                original(length.min(bytes));
             }
             kill()
         }
     }
 }
 
-/// Does a call that moves no bytes by way of `real`, as its fault says.
-pub fn perform(fault: Fault, real: impl Fn() -> isize) -> isize {
+/// Makes a call of the original function that transfers no bytes, changed as the fault says.
+pub fn call_original(fault: Fault, original: impl Fn() -> isize) -> isize {
     match fault {
         Fault::Error(errno) | Fault::Torn { errno, .. } => fail(errno),
-        other => transfer(other, usize::MAX, |_| real()),
+        other => call_with_length(other, usize::MAX, |_| original()),
     }
 }
--- a/crates/fault-injection/examples/preload/files.rs
+++ b/crates/fault-injection/examples/preload/files.rs
@@ -1,26 +1,27 @@
-//! Files: writing, reading, opening, renaming, removing and cutting. Only files under the folder that the gateway keeps its
-//! state in are affected, by the path that a descriptor or a name leads to.
+//! Replacements of file functions. They affect only files in the gateway's state directory, which they recognize by
+//! the path that is passed, or by the current path of the file behind a descriptor.
 
-use crate::control::{fault, is_controlled, perform, transfer, Fault};
-use crate::real::real;
+use crate::control::{call_original, call_with_length, has_control_file, next_fault, Fault};
+use crate::real::original;
 use cloverstile_fault_injection::Call;
 use libc::{c_char, c_int, c_void, mode_t, off64_t, size_t, ssize_t};
 use std::ffi::CStr;
 
-/// Folder whose files are affected.
-const FOLDER_VARIABLE: &CStr = c"ROUTER_STATE";
+/// Environment variable that holds the path of the state directory.
+const STATE_DIRECTORY_VARIABLE: &CStr = c"ROUTER_STATE";
+/// Size of the buffer for a path, in bytes (`PATH_MAX` of Linux).
 const MAX_PATH: usize = 4096;
 
-/// Whether a path lies under the folder.
+/// Whether a path starts with the path of the state directory.
 unsafe fn is_state_path(path: *const c_char) -> bool {
-    let folder = libc::getenv(FOLDER_VARIABLE.as_ptr());
-    if folder.is_null() || path.is_null() {
+    let directory = libc::getenv(STATE_DIRECTORY_VARIABLE.as_ptr());
+    if directory.is_null() || path.is_null() {
         return false;
     }
-    CStr::from_ptr(path).to_bytes().starts_with(CStr::from_ptr(folder).to_bytes())
+    CStr::from_ptr(path).to_bytes().starts_with(CStr::from_ptr(directory).to_bytes())
 }
 
-/// Whether a descriptor is that of a file under the folder.
+/// Whether a descriptor refers to a file in the state directory.
 unsafe fn is_state_file(descriptor: c_int) -> bool {
     let link = format!("/proc/self/fd/{descriptor}\0");
     let mut path = [0 as c_char; MAX_PATH];
@@ -29,76 +30,81 @@
 }
 
 unsafe fn file_fault(call: Call, descriptor: c_int) -> Fault {
-    if is_controlled() && is_state_file(descriptor) {
-        fault(call)
+    if has_control_file() && is_state_file(descriptor) {
+        next_fault(call)
     } else {
         Fault::None
     }
 }
 
 unsafe fn path_fault(call: Call, path: *const c_char) -> Fault {
-    if is_controlled() && is_state_path(path) {
-        fault(call)
+    if has_control_file() && is_state_path(path) {
+        next_fault(call)
     } else {
         Fault::None
     }
 }
 
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    type Type = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
-    let real = real!(c"write" as Type);
-    transfer(file_fault(Call::FileWrite, descriptor), length, |length| real(descriptor, bytes, length))
+    type Signature = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
+    let original = original!(c"write" as Signature);
+    call_with_length(file_fault(Call::FileWrite, descriptor), length, |length| {
+        original(descriptor, bytes, length)
+    })
 }
 
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn read(descriptor: c_int, bytes: *mut c_void, length: size_t) -> ssize_t {
-    type Type = unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t;
-    let real = real!(c"read" as Type);
-    transfer(file_fault(Call::FileRead, descriptor), length, |length| real(descriptor, bytes, length))
+    type Signature = unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t;
+    let original = original!(c"read" as Signature);
+    call_with_length(file_fault(Call::FileRead, descriptor), length, |length| {
+        original(descriptor, bytes, length)
+    })
 }
 
 /// # Safety
-/// As the C library's; `mode` is read where the call creates a file.
+/// The same as for the C library's function; `mode` is used only if the call creates a file.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    type Type = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
-    let real = real!(c"open64" as Type);
-    perform(path_fault(Call::FileOpen, path), || real(path, flags, mode) as isize) as c_int
+    type Signature = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
+    let original = original!(c"open64" as Signature);
+    call_original(path_fault(Call::FileOpen, path), || original(path, flags, mode) as isize) as c_int
 }
 
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    type Type = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
-    let real = real!(c"rename" as Type);
+    type Signature = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
+    let original = original!(c"rename" as Signature);
     let fault = path_fault(Call::FileRename, to);
-    // A torn rename is done and reported as failed.
+    // Torn with at least one byte: the rename is done and reported as failed.
     if let Fault::Torn { bytes: 1.., .. } = fault {
-        real(from, to);
+        original(from, to);
     }
-    perform(fault, || real(from, to) as isize) as c_int
+    call_original(fault, || original(from, to) as isize) as c_int
 }
 
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    type Type = unsafe extern "C" fn(*const c_char) -> c_int;
-    let real = real!(c"unlink" as Type);
-    perform(path_fault(Call::FileRemove, path), || real(path) as isize) as c_int
+    type Signature = unsafe extern "C" fn(*const c_char) -> c_int;
+    let original = original!(c"unlink" as Signature);
+    call_original(path_fault(Call::FileRemove, path), || original(path) as isize) as c_int
 }
 
 /// # Safety
-/// As the C library's.
+/// The same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn ftruncate64(descriptor: c_int, length: off64_t) -> c_int {
-    type Type = unsafe extern "C" fn(c_int, off64_t) -> c_int;
-    let real = real!(c"ftruncate64" as Type);
-    perform(file_fault(Call::FileTruncate, descriptor), || real(descriptor, length) as isize) as c_int
+    type Signature = unsafe extern "C" fn(c_int, off64_t) -> c_int;
+    let original = original!(c"ftruncate64" as Signature);
+    call_original(file_fault(Call::FileTruncate, descriptor), || original(descriptor, length) as isize)
+        as c_int
 }
--- a/crates/fault-injection/examples/preload/lib.rs
+++ b/crates/fault-injection/examples/preload/lib.rs
@@ -1,10 +1,11 @@
-//! The preloaded library: functions of the C library that fail as the control file says. See `cloverstile_fault_injection`.
+//! The preloaded library: replaces functions of the C library by ones that fail as the control file says. See
+//! `cloverstile_fault_injection`.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `control` | the mapped control file: which fault a call meets |
-//! | `real` | the functions of the C library behind the replaced ones |
-//! | `files`, `sockets`, `clock` | the replaced functions |
+//! | `control` | the mapped control file, and how a fault changes a call |
+//! | `real` | lookup of the original functions of the C library |
+//! | `files`, `sockets`, `clock` | the replacement functions |
 
 mod clock;
 mod control;
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -1,4 +1,4 @@
-//! The control of one process's faults.
+//! The test's side of the control file: sets and clears the faults of a process.
 
 use crate::layout::{rule_offset, CONTROL_BYTES, CONTROL_VARIABLE, MAX_RULES, WALL_CLOCK_OFFSET};
 use crate::rule::Rule;
@@ -9,32 +9,34 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// File name of the preloaded library.
+/// File name of the preloaded library, which Cargo derives from the example's name.
 const LIBRARY: &str = "libpreload.so";
 
-/// Path of the preloaded library, beside this program or in the folder of examples of its build.
+/// Finds the preloaded library beside this program, in one of the two directories above it, or in the `examples`
+/// directory of one of these.
 ///
 /// # Errors
 ///
-/// It is not built; `cargo build --examples -p cloverstile-fault-injection` does that.
+/// The library is not built; `cargo build --examples -p cloverstile-fault-injection` builds it.
 pub fn preload_library() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
-    let folders = program.ancestors().skip(1).take(3);
-    let candidates = folders.flat_map(|folder| [folder.join(LIBRARY), folder.join("examples").join(LIBRARY)]);
+    let directories = program.ancestors().skip(1).take(3);
+    let candidates =
+        directories.flat_map(|directory| [directory.join(LIBRARY), directory.join("examples").join(LIBRARY)]);
     candidates.into_iter().find(|path| path.exists()).ok_or_else(|| {
         let hint = "cargo build --examples -p cloverstile-fault-injection";
         io::Error::new(io::ErrorKind::NotFound, format!("{LIBRARY} is not built: {hint}"))
     })
 }
 
-/// The faults of one process, which may be changed while it runs.
+/// Sets the faults of one process, also while it runs.
 pub struct FaultControl {
     path: PathBuf,
     file: File,
 }
 
 impl FaultControl {
-    /// A control file at this path, without a fault.
+    /// Creates or clears the control file at `path`; it contains no faults.
     ///
     /// # Errors
     ///
@@ -45,7 +47,7 @@
         Ok(FaultControl { path: path.to_owned(), file })
     }
 
-    /// Makes a command start its program under this control.
+    /// Sets the environment of `command` so that its process loads the library and maps this control file.
     ///
     /// # Errors
     ///
@@ -55,7 +57,7 @@
         Ok(())
     }
 
-    /// Sets the wall clock ahead of the machine's, or behind it where `ahead` is false, by `offset`.
+    /// Sets the process's wall clock ahead of the system clock by `offset`, or behind it if `ahead` is false.
     ///
     /// # Errors
     ///
@@ -66,42 +68,43 @@
         self.file.write_all_at(&signed.to_le_bytes(), WALL_CLOCK_OFFSET as u64)
     }
 
-    /// Puts a rule in one of the [`MAX_RULES`] places; the first place whose rule fits a call counts.
+    /// Replaces the rule in one of the [`MAX_RULES`] slots. A call is affected by the rule with the lowest slot that
+    /// applies to it.
     ///
     /// # Errors
     ///
-    /// There is no such place, or the control file can't be written.
-    pub fn set_rule(&self, place: usize, rule: &Rule) -> io::Result<()> {
-        self.clear_rule(place)?;
+    /// The slot does not exist, or the control file can't be written.
+    pub fn set_rule(&self, slot: usize, rule: &Rule) -> io::Result<()> {
+        self.clear_rule(slot)?;
         let words = rule.words();
         let bytes: Vec<u8> = words.iter().flat_map(|word| word.to_le_bytes()).collect();
-        // The first word makes the rule count, and is written last.
-        let offset = rule_offset(place) as u64;
+        // The first word activates the rule, so it is written after the others.
+        let offset = rule_offset(slot) as u64;
         self.file.write_all_at(&bytes[8..], offset + 8)?;
         self.file.write_all_at(&bytes[..8], offset)
     }
 
-    /// Ends the rule in a place.
+    /// Removes the rule in a slot.
     ///
     /// # Errors
     ///
-    /// There is no such place, or the control file can't be written.
-    pub fn clear_rule(&self, place: usize) -> io::Result<()> {
-        if place >= MAX_RULES {
-            let problem = format!("place {place}: places are 0 to {}", MAX_RULES - 1);
+    /// The slot does not exist, or the control file can't be written.
+    pub fn clear_rule(&self, slot: usize) -> io::Result<()> {
+        if slot >= MAX_RULES {
+            let problem = format!("rule slot {slot} does not exist, slots are 0 to {}", MAX_RULES - 1);
             return Err(io::Error::new(io::ErrorKind::InvalidInput, problem));
         }
-        self.file.write_all_at(&[0; 8], rule_offset(place) as u64)
+        self.file.write_all_at(&[0; 8], rule_offset(slot) as u64)
     }
 
-    /// How many calls the rule in a place has affected so far.
+    /// Number of calls that the rule in a slot has affected so far.
     ///
     /// # Errors
     ///
     /// The control file can't be read.
-    pub fn hits(&self, place: usize) -> io::Result<u64> {
+    pub fn hits(&self, slot: usize) -> io::Result<u64> {
         let mut word = [0; 8];
-        self.file.read_exact_at(&mut word, rule_offset(place) as u64 + 56)?;
+        self.file.read_exact_at(&mut word, rule_offset(slot) as u64 + 56)?;
         Ok(u64::from_le_bytes(word))
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,12 +1,13 @@
-//! Faults of the machine, for processes under test: failing, short, torn and slow system calls, and steps of the wall
-//! clock.
+//! Fault injection for processes under test: system calls that fail, transfer too few bytes or are slow, and steps of
+//! the wall clock.
 //!
-//! The library `preload` (an example of this package, built by `cargo test` and `cargo build --examples`) stands between
-//! a process and the C library. A [`FaultControl`] is a file that both sides map: a test changes it while the process
-//! runs. Nothing is changed in a process that is started without [`CONTROL_VARIABLE`].
+//! The library `preload` is an example of this package, which `cargo test` and `cargo build --examples` build. Loaded
+//! with `LD_PRELOAD`, it replaces functions of the C library in the process under test. A [`FaultControl`] writes the
+//! control file that the library maps, so that a test can change the faults while the process runs. A process that is
+//! started without [`CONTROL_VARIABLE`] behaves as if the library were not loaded.
 //!
-//! Calls that do not pass the C library are out of its reach, such as `epoll_wait` of the event loop; signals (SIGSTOP,
-//! SIGCONT) interrupt those.
+//! System calls that bypass the replaced functions can't be made to fail, such as the event loop's `epoll_wait`. Tests
+//! interrupt those with signals (SIGSTOP, SIGCONT).
 #![forbid(unsafe_code)]
 
 mod control;
--- a/crates/fault-injection/src/planted.rs
+++ b/crates/fault-injection/src/planted.rs
@@ -1,43 +1,44 @@
-//! Defects that are planted on purpose, to see that the testbench finds them.
+//! Defects that are planted in the gateway to verify that the testbench finds them.
 //!
-//! The gateway's packages ask for them only where they are built with the feature `planted-defects`, which no release is.
+//! The gateway's packages contain them only if they are built with the feature `planted-defects`, which releases are not.
 
 use std::sync::OnceLock;
 
-/// Environment variable with the name of the defect.
+/// Environment variable that holds the [name](PlantedDefect::name) of the defect to activate.
 pub const DEFECT_VARIABLE: &str = "CLOVERSTILE_PLANTED_DEFECT";
 
-/// A defect that can be planted.
+/// A defect that [`DEFECT_VARIABLE`] can activate in a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedDefect {
-    /// Replies leave ahead of the log's write.
+    /// Replies to clients are sent before the log has written the records that they acknowledge.
     ReplyBeforeLog,
-    /// Recovery applies the records of a torn batch that can be read.
+    /// Recovery applies the readable records of a torn batch instead of discarding the whole batch.
     HalfBatch,
-    /// The wall clock is read for every time.
+    /// All times are taken from the wall clock, so that a step of it moves deadlines.
     WallClock,
-    /// One failed accept ends a listener that is being closed.
+    /// A failed accept ends a listener that is being closed, although connections may still be queued.
     ListenerEnds,
-    /// A closed connection is read from, and the bytes are discarded.
+    /// Bytes that arrive on a lingering, already closed connection are read and discarded.
     LingeringReads,
-    /// Responses are handled ahead of the time-outs of their turn (incident-10321).
+    /// Responses read in a turn of the event loop are handled before attempts that are past their deadline time out
+    /// (incident-10321).
     LateResponses,
-    /// A restart forgets that keys rest.
+    /// After a restart, order keys do not wait for the settle time of attempts that may still be running.
     SettleForgotten,
-    /// A key's next message does not wait for the notification of the one before.
+    /// The next message of an order key does not wait until the notification of the one before is acknowledged.
     NotificationNotAwaited,
-    /// Messages are recovered in the reverse order.
+    /// Messages are recovered in the reverse of the order in which they were accepted.
     RecoveredInReverse,
-    /// Each SIGTERM starts the shutdown's clock anew.
+    /// Each further SIGTERM restarts the time limit of the shutdown.
     ShutdownClock,
-    /// The reply to a client that has left goes to another one.
+    /// The reply to a client that has disconnected is sent to another client.
     ReplyToAnother,
-    /// SIGHUP in a shutdown listens anew.
+    /// SIGHUP during a shutdown opens the listener again.
     ReloadListens,
 }
 
 impl PlantedDefect {
-    /// All of them.
+    /// Every defect, for tests that activate each of them in turn.
     pub const ALL: [PlantedDefect; 12] = [
         PlantedDefect::ReplyBeforeLog,
         PlantedDefect::HalfBatch,
@@ -53,7 +54,7 @@
         PlantedDefect::ReloadListens,
     ];
 
-    /// Its name in [`DEFECT_VARIABLE`].
+    /// The value of [`DEFECT_VARIABLE`] that activates the defect.
     pub fn name(self) -> &'static str {
         match self {
             PlantedDefect::ReplyBeforeLog => "reply-before-log",
@@ -72,7 +73,7 @@
     }
 }
 
-/// Whether this process was started with a defect.
+/// Whether [`DEFECT_VARIABLE`] activates this defect. The variable is read once, at the first call.
 pub fn is_planted(defect: PlantedDefect) -> bool {
     static NAME: OnceLock<Option<String>> = OnceLock::new();
     NAME.get_or_init(|| std::env::var(DEFECT_VARIABLE).ok()).as_deref() == Some(defect.name())
--- a/crates/fault-injection/src/rule.rs
+++ b/crates/fault-injection/src/rule.rs
@@ -1,90 +1,91 @@
-//! Rules: which calls fail, and how.
+//! Fault rules: which calls of the C library are affected, and in which way.
 
 use crate::layout::RULE_WORDS;
 use std::time::Duration;
 
-/// A function of the C library that a rule may be for.
+/// A group of C library functions that a rule can affect. The numbers are stored in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u64)]
 pub enum Call {
-    /// Writing to a regular file.
+    /// `write` to a file in the state directory.
     FileWrite = 1,
-    /// Reading from a regular file.
+    /// `read` from a file in the state directory.
     FileRead = 2,
-    /// Opening a file.
+    /// `open64` of a file in the state directory.
     FileOpen = 3,
-    /// Renaming a file.
+    /// `rename` to a path in the state directory.
     FileRename = 4,
-    /// Removing a file.
+    /// `unlink` of a file in the state directory.
     FileRemove = 5,
-    /// Cutting a file to a length.
+    /// `ftruncate64` of a file in the state directory.
     FileTruncate = 6,
-    /// Creating a socket.
+    /// `socket`.
     Socket = 7,
-    /// Connecting a socket.
+    /// `connect`.
     Connect = 8,
-    /// Accepting a connection.
+    /// `accept4`.
     Accept = 9,
-    /// Sending on a socket.
+    /// `send`.
     Send = 10,
-    /// Receiving from a socket.
+    /// `recv`.
     Receive = 11,
-    /// Setting an option of a socket.
+    /// `setsockopt`.
     SocketOption = 12,
-    /// Reading the monotonic clock; only [`Effect::Delay`] applies, behind the reading.
+    /// `clock_gettime` of the monotonic clock. Only [`Effect::Delay`] applies, and the delay follows the clock read.
     MonotonicClock = 13,
 }
 
-/// What happens in place of a call.
+/// What happens instead of an affected call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this error number, and does nothing.
+    /// The call fails with this error number without any other effect.
     Error(i32),
-    /// It is done for at most so many bytes.
+    /// The call transfers at most this many bytes, and at least one.
     Short(u64),
-    /// It writes at most so many bytes and fails with the error number all the same.
+    /// The call transfers at most `bytes` bytes and then fails with `errno`. A rename with `bytes` of at least 1 is done
+    /// and reported as failed.
     Torn {
-        /// Bytes that are written.
+        /// Most bytes that are transferred before the call fails.
         bytes: u64,
-        /// The error number.
+        /// Error number that the call fails with.
         errno: i32,
     },
-    /// It is done after this time; for clocks the time passes behind the reading.
+    /// The call is made after this time. For [`Call::MonotonicClock`] the delay follows the clock read.
     Delay(Duration),
-    /// It writes at most so many bytes, and the process is killed.
+    /// The call transfers at most `bytes` bytes, and the process is killed with SIGKILL.
     Kill {
-        /// Bytes that are written.
+        /// Most bytes that are transferred before the kill.
         bytes: u64,
     },
 }
 
-/// Which calls are affected, and how.
+/// A fault: which calls are affected, and in which way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The call.
+    /// The function whose calls are affected.
     pub call: Call,
-    /// What happens in its place.
+    /// What happens instead of the call.
     pub effect: Effect,
-    /// Calls that pass before the first one that is affected.
+    /// Number of calls that are made normally before the first affected one.
     pub skip: u64,
-    /// Calls that are affected; `u64::MAX` for all.
+    /// Number of calls that are affected; `u64::MAX` for no limit.
     pub count: u64,
 }
 
 impl Rule {
-    /// Every such call, from now on.
+    /// Affects every call of this function from now on.
     pub fn always(call: Call, effect: Effect) -> Self {
         Rule { call, effect, skip: 0, count: u64::MAX }
     }
 
-    /// The next such call alone.
+    /// Affects only the next call of this function.
     pub fn once(call: Call, effect: Effect) -> Self {
         Rule { count: 1, ..Rule::always(call, effect) }
     }
 
-    /// The rule's words in the control file, the call last: it makes the others count.
+    /// The rule as words of the control file. The first word, the call, activates the rule and has to be written last.
     pub(crate) fn words(&self) -> [u64; RULE_WORDS] {
-        let (kind, errno, size, delay) = match self.effect {
+        let (effect, errno, byte_count, delay) = match self.effect {
             Effect::Error(errno) => (1, errno, 0, Duration::ZERO),
             Effect::Short(bytes) => (2, 0, bytes, Duration::ZERO),
             Effect::Torn { bytes, errno } => (3, errno, bytes, Duration::ZERO),
@@ -93,6 +94,6 @@
         };
         let delay = u64::try_from(delay.as_nanos()).unwrap_or(u64::MAX);
         let errno = u64::try_from(errno).unwrap_or(0);
-        [self.call as u64, kind, errno, size, delay, self.skip, self.count, 0]
+        [self.call as u64, effect, errno, byte_count, delay, self.skip, self.count, 0]
     }
 }
