--- a/crates/cli/tests/gateway_harness/mod.rs
+++ b/crates/cli/tests/gateway_harness/mod.rs
@@ -203,7 +203,7 @@
     /// Waits until every accepted message has its final outcome, at most [`EVENT_TIMEOUT`]. Returns the violated invariants.
     pub fn final_violations(&self) -> Vec<String> {
         self.platform.wait_until(EVENT_TIMEOUT, |events| {
-            !check_invariants(events).iter().any(|violation| violation.ends_with("is lost"))
+            !check_invariants(events).iter().any(|violation| violation.ends_with("had no final outcome"))
         });
         check_invariants(&self.platform.events())
     }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,5 +1,6 @@
-//! The users' platform on loopback: endpoints, discovery with its watch, notifications, and a client's side of a
-//! submission. It records what passed on its sockets, and [`check_invariants`] reads that alone.
+//! Fake platform on loopback: endpoints, discovery agents that serve the endpoint list and receive notifications, and
+//! the client's side of a submission. It records what passes on its sockets, and [`check_invariants`] relies on these
+//! records alone.
 
 mod agent;
 mod endpoint;
@@ -25,56 +26,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that the system queues for an endpoint until it accepts them.
+/// Most connections that the operating system queues for an endpoint until they are accepted.
 const ENDPOINT_BACKLOG: i32 = 16;
-/// The same for a discovery agent.
+/// Most connections that the operating system queues for a discovery agent until they are accepted.
 const AGENT_BACKLOG: i32 = 128;
 
-/// Addresses of discovery that a gateway may be moved between.
+/// Discovery addresses of each gateway, between which a test can move it by a configuration reload.
 pub const AGENTS_PER_GATEWAY: usize = 2;
 
-/// A running platform on loopback.
+/// A running fake platform on loopback. Dropping it stops its servers.
 pub struct Platform {
     shared: Arc<Shared>,
-    /// Addresses of the endpoints.
+    /// Addresses of the endpoints, by endpoint index.
     pub endpoints: Vec<SocketAddr>,
-    /// Addresses of discovery; a configuration names the one that counts.
+    /// Discovery addresses, [`AGENTS_PER_GATEWAY`] for each gateway; its configuration names the one that it uses.
     pub discovery: Vec<SocketAddr>,
 }
 
 impl Platform {
-    /// Starts one endpoint for each of these destinations, and the discovery of one gateway.
+    /// Starts one endpoint for each of these destinations, and the discovery agents of one gateway.
     ///
     /// # Errors
     ///
-    /// If a port can't be listened on.
-    pub fn start(cells: &[u16]) -> io::Result<Platform> {
-        Platform::start_with_gateways(cells, 1)
+    /// If a listener can't be opened.
+    pub fn start(destinations: &[u16]) -> io::Result<Platform> {
+        Platform::start_with_gateways(destinations, 1)
     }
 
-    /// Starts one endpoint for each of these destinations, and for so many gateways [`AGENTS_PER_GATEWAY`] addresses of
-    /// discovery each, in the order of the gateways. Each endpoint delivers at once, and each agent answers at once, until
-    /// its behaviour is set.
+    /// Starts one endpoint for each of these destinations, and [`AGENTS_PER_GATEWAY`] discovery agents for each of this
+    /// many gateways, in the order of the gateways. Until a behaviour is set, endpoints deliver at once and agents
+    /// answer at once.
     ///
     /// # Errors
     ///
-    /// If a port can't be listened on.
-    pub fn start_with_gateways(cells: &[u16], gateways: usize) -> io::Result<Platform> {
+    /// If a listener can't be opened.
+    pub fn start_with_gateways(destinations: &[u16], gateways: usize) -> io::Result<Platform> {
         let agents = gateways * AGENTS_PER_GATEWAY;
-        let shared = Arc::new(Shared::new(State::new(cells, agents)));
+        let shared = Arc::new(Shared::new(State::new(destinations, agents)));
         let mut endpoints = Vec::new();
-        for endpoint in 0..cells.len() {
+        for endpoint in 0..destinations.len() {
             let is_closed = move |shared: &Shared| shared.state().closed_to_connections.contains(&endpoint);
             let serve = move |shared: &Shared, message, stream: &mut _| {
                 serve_endpoint(shared, endpoint, message, stream)
             };
             endpoints.push(listen(&shared, ENDPOINT_BACKLOG, is_closed, serve)?);
         }
-        let listed = Arc::new(endpoints.clone());
+        let addresses = Arc::new(endpoints.clone());
         let listen_discovery = |address: usize| {
-            let listed = listed.clone();
+            let addresses = addresses.clone();
             let serve = move |shared: &Shared, message, stream: &mut _| {
-                serve_discovery(shared, address, &listed, &message, stream)
+                serve_discovery(shared, address, &addresses, &message, stream)
             };
             listen(&shared, AGENT_BACKLOG, |_| false, serve)
         };
@@ -82,25 +83,25 @@
         Ok(Platform { shared, endpoints, discovery })
     }
 
-    /// Sets how an endpoint responds from now on.
+    /// Sets how an endpoint handles requests that arrive from now on.
     pub fn set_behaviour(&self, endpoint: usize, behaviour: EndpointBehaviour) {
         self.shared.state().behaviour[endpoint] = behaviour;
     }
 
-    /// Sets how an agent answers from now on.
+    /// Sets how the agent with this discovery address handles requests from now on.
     pub fn set_agent_behaviour(&self, address: usize, behaviour: AgentBehaviour) {
         self.shared.state().agents[address] = behaviour;
     }
 
-    /// Sets how many requests a second the endpoint list states for each endpoint.
+    /// Sets the rate limit, in requests per second, that the endpoint list states for each endpoint.
     pub fn set_weight(&self, weight: f64) {
         let mut state = self.shared.state();
         state.generation += 1;
         state.weight = weight;
     }
 
-    /// Lets an endpoint accept connections or not. While it does not, a few come up and are reset in the end, and others come
-    /// up late or never.
+    /// Sets whether an endpoint accepts connections. While it does not, the operating system establishes as many as fit
+    /// into the backlog, which are reset when the endpoint accepts again; others are established late or never.
     pub fn set_accepting(&self, endpoint: usize, accepting: bool) {
         let mut state = self.shared.state();
         if accepting {
@@ -110,34 +111,35 @@
         }
     }
 
-    /// Sets an endpoint's state in the endpoint list from now on.
+    /// Sets the lifecycle that the endpoint list states for an endpoint (`SERVING` or `DRAINING`), and publishes the
+    /// list.
     pub fn set_lifecycle(&self, endpoint: usize, lifecycle: &'static str) {
         self.shared.state().set_lifecycle(endpoint, lifecycle);
         self.shared.notify_changed();
     }
 
-    /// Records an event that the platform does not see itself: what a client or a process met.
+    /// Records an event that the platform does not observe itself, such as a client's reply or the end of a process.
     pub fn record(&self, event: PlatformEvent) {
         self.shared.record(event);
     }
 
-    /// All events so far.
+    /// All events so far, in the order in which they were recorded, which can differ from that of their times.
     pub fn events(&self) -> Vec<TimedEvent> {
         self.shared.state().events.clone()
     }
 
-    /// Waits until the events are as wanted, at most for `timeout`; returns whether they are.
-    pub fn wait_until(&self, timeout: Duration, wanted: impl Fn(&[TimedEvent]) -> bool) -> bool {
-        let mut is_as_wanted = false;
+    /// Waits until the events satisfy `condition`, at most for `timeout`; returns whether they do.
+    pub fn wait_until(&self, timeout: Duration, condition: impl Fn(&[TimedEvent]) -> bool) -> bool {
+        let mut is_satisfied = false;
         let state = self.shared.wait_for(timeout, |state| {
-            is_as_wanted = wanted(&state.events);
-            is_as_wanted
+            is_satisfied = condition(&state.events);
+            is_satisfied
         });
         drop(state);
-        is_as_wanted
+        is_satisfied
     }
 
-    /// Submits a message on a connection and records it if it is accepted; returns the reply line.
+    /// Submits a message on a connection and returns the reply line. Records the message if it is accepted.
     ///
     /// # Errors
     ///
@@ -155,7 +157,7 @@
         Ok(line)
     }
 
-    /// The endpoint list in discovery's form, as a configuration's `known`.
+    /// The endpoint list in the JSON form of discovery, which a configuration takes as `known`.
     pub fn endpoint_list(&self) -> serde_json::Value {
         self.shared.state().list_json(&self.endpoints)
     }
@@ -164,7 +166,7 @@
 impl Drop for Platform {
     fn drop(&mut self) {
         self.shared.stop();
-        // Each listener is woken once, and sees that the platform has stopped.
+        // One connection to each listener wakes its thread, which then sees that the platform has stopped.
         for address in self.endpoints.iter().chain(&self.discovery) {
             let _ = TcpStream::connect(address);
         }
--- a/crates/fakes/src/platform/events.rs
+++ b/crates/fakes/src/platform/events.rs
@@ -1,28 +1,28 @@
-//! What passed on the sockets of a fake platform.
+//! Events that a fake platform records.
 
 use std::time::Duration;
 
-/// Something that passed on a socket.
+/// Something that passed on a socket of the platform or that a client or test recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformEvent {
-    /// A client read that its message is accepted.
+    /// A client read the reply that its message is accepted.
     Accepted {
         /// Message id.
         id: String,
         /// Order key, 0 for none.
         key: u64,
-        /// It has no idempotency key: it must not be sent again once it may have run.
+        /// Whether it has no idempotency key, so that it must not be sent again once it may have been processed.
         unrepeatable: bool,
     },
-    /// The last byte of a request came.
+    /// An endpoint received the last byte of a request.
     RequestReceived {
         /// Message id.
         id: String,
-        /// Idempotency key.
+        /// Idempotency key, if the request has one.
         idempotency: Option<String>,
         /// Index of the endpoint.
         endpoint: usize,
-        /// Body.
+        /// Body of the request.
         body: Vec<u8>,
     },
     /// A response with status 200 was written to the gateway.
@@ -30,38 +30,38 @@
         /// Message id.
         id: String,
     },
-    /// A response was written that proves that the request was not executed.
+    /// A response was written that proves that the request was not executed (status 429, 503 or 504).
     NotExecuted {
         /// Message id.
         id: String,
     },
-    /// A response with status 200 was written behind the time of its message: it is no delivery.
+    /// A response with status 200 was written after the deadline of its message, so it does not count as delivery.
     LateResponse {
         /// Message id.
         id: String,
     },
-    /// A response was written by which a message is over and nothing more is owed (status 410).
+    /// A response with status 410 was written: the message has its final outcome, and no notification is due.
     Released {
         /// Message id.
         id: String,
     },
-    /// Another whole response was written: the request is over, and may have run.
+    /// Another complete response was written: the request has ended, and may have been executed.
     Failed {
         /// Message id.
         id: String,
     },
-    /// A connection ended under a request without a response to it: the request may still run.
+    /// A connection ended before the response to its request: the request may still be executed.
     AttemptEnded {
         /// Message id.
         id: String,
     },
-    /// A rejection was written that asks to wait.
+    /// A response with `Retry-After` was written.
     RetryAfter {
         /// Message id.
         id: String,
         /// Index of the endpoint.
         endpoint: usize,
-        /// How long, from its writing on.
+        /// Time to wait, from the writing of the response on.
         wait: Duration,
     },
     /// A notification was received.
@@ -70,90 +70,90 @@
         id: String,
         /// `undeliverable` or `deferred`.
         status: String,
-        /// Index of the discovery address that it came to.
+        /// Index of the discovery address that received it.
         address: usize,
     },
-    /// A notification was acknowledged.
+    /// A discovery agent acknowledged a notification.
     NotificationAnswered {
         /// Message id.
         id: String,
     },
-    /// An endpoint is out of order from now on.
+    /// An outage of an endpoint began.
     EndpointFailed {
-        /// Its index.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// An endpoint that was out of order serves again.
+    /// An outage of an endpoint ended.
     EndpointReturned {
-        /// Its index.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// An agent has written the endpoint list.
+    /// A discovery agent wrote the endpoint list to a gateway.
     ListSent {
         /// Index of the discovery address.
         address: usize,
-        /// Indices of the endpoints that drain.
+        /// Indices of the draining endpoints in that list.
         draining: Vec<usize>,
     },
-    /// A client has written the whole command that submits a message.
+    /// A client wrote the complete command that submits a message.
     Submitted {
         /// Message id.
         id: String,
         /// Number of the gateway.
         gateway: usize,
-        /// How long the message may still be delivered.
+        /// Time from the submission until the deadline of the message.
         time_left: Duration,
     },
-    /// A client read that its message is not accepted and may be submitted again.
+    /// A client read the reply that its message is not accepted and may be resubmitted.
     Refused {
         /// Message id.
         id: String,
     },
-    /// A client got bytes that are no reply to its command, or more than the replies to its commands.
+    /// A client read bytes that are not a valid reply to its command, or more than the replies to its commands.
     WrongReply {
         /// Message id.
         id: String,
-        /// What it read.
+        /// The line that it read.
         line: String,
     },
-    /// A command was read by its gateway, which ended the connection without a reply.
+    /// A gateway read a command and ended the connection without a reply.
     Unanswered {
         /// Message id.
         id: String,
     },
-    /// A gateway reset a connection that it, or the system for it, had taken, without having been killed.
+    /// A gateway that was not killed reset a connection that it, or the operating system for it, had accepted.
     ConnectionDropped {
-        /// What was sent on it.
+        /// Id of the message that was sent on the connection.
         id: String,
     },
-    /// A gateway process ended, or was told to.
+    /// A gateway process ended, or was told to end.
     GatewayDown {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
-    /// A gateway process was started: what an earlier one was told it does not know.
+    /// A gateway process was started. It does not know the endpoint lists that an earlier process received.
     GatewayStarted {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
     /// A gateway process replied to a PING.
     GatewayReady {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
     /// A fault began or ended.
     Fault {
-        /// Number of the gateway, if it is one's.
+        /// Number of the gateway; none if the fault is not of a single gateway.
         gateway: Option<usize>,
-        /// What it is.
+        /// The fault in the form in which reports print it.
         description: String,
     },
-    /// The endpoint list was requested.
+    /// A gateway requested the endpoint list.
     DiscoveryRequested {
         /// Index of the discovery address.
         address: usize,
     },
 }
 
-/// An event with its time from the start of the platform.
+/// An event with its time, counted from the start of the platform.
 pub type TimedEvent = (Duration, PlatformEvent);
--- a/crates/fakes/src/platform/invariants.rs
+++ b/crates/fakes/src/platform/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of delivery, checked on what passed on the sockets.
+//! Checks of the delivery invariants against the recorded events.
 
 mod endpoint_limits;
 mod facts;
@@ -13,40 +13,41 @@
 use std::fmt;
 use std::time::Duration;
 
-/// By how much every time limit is longer than stated (protocol page).
+/// Tolerance of every time limit, as the protocol defines it.
 const LIMIT_SLACK: Duration = Duration::from_millis(50);
 
-/// How many requests a recovering endpoint bears (standing page).
+/// How many requests an endpoint can take while it recovers from an outage. Its capacity grows linearly during the
+/// warm-up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRule {
-    /// Requests a second that a healthy endpoint takes.
+    /// Requests per second that a healthy endpoint can take.
     pub capacity: f64,
-    /// Share of its capacity that it has at once.
+    /// Share of the capacity that is available right after the outage.
     pub initial_capacity_share: f64,
-    /// When it has all of it.
+    /// Time after the outage at which the whole capacity is available.
     pub warm_up_time: Duration,
-    /// It falls when it gets more than this multiple of its capacity,
+    /// Multiple of the current capacity above which an endpoint is overloaded.
     pub overload_multiple: f64,
-    /// for this long.
+    /// Time over which the requests are counted for that.
     pub overload_window: Duration,
 }
 
-/// What is allowed beside the invariants themselves. The default allows all that depends on time.
+/// Time limits and tolerances of the invariants. The default sets no time limits.
 #[derive(Clone, Copy, Debug)]
 pub struct InvariantRules {
     /// How long after its first request a message with an idempotency key may be sent again.
     pub repeat_window: Duration,
-    /// How long after its deadline a message may get its end.
+    /// How long after its deadline a message may get its final outcome.
     pub outcome_slack: Duration,
-    /// How long after a restarted gateway is ready its messages may still get their ends.
+    /// How long after a restarted gateway is ready its overdue messages may still get their final outcomes.
     pub restart_grace: Duration,
-    /// Share of its time before which a message that never was sent may not be given up.
+    /// Share of the time until its deadline that must have passed before a message that was never sent may be given up.
     pub min_give_up_share: f64,
-    /// How long a key rests behind an attempt that may still run.
+    /// How long no other message of an order key may be sent after an attempt that may still be running.
     pub settle_time: Duration,
-    /// How long after a gateway was told that an endpoint drains it may send there.
+    /// How long a gateway may still send to an endpoint after it received a list in which the endpoint drains.
     pub drain_grace: Duration,
-    /// What recovering endpoints bear; none where they bear everything.
+    /// Limit of the load on recovering endpoints; none for no limit.
     pub slow_start: Option<SlowStartRule>,
 }
 
@@ -64,45 +65,45 @@
     }
 }
 
-/// Which invariant is violated.
+/// Kind of a violated invariant. Reports print its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
-    /// A command was read and had no reply, or an accepted message had its end too late.
+    /// A command was read but not replied to, or an accepted message got its final outcome too late.
     Lost,
-    /// A client got bytes that are no reply to its command.
+    /// A client read bytes that are not a valid reply to its command.
     WrongReply,
-    /// A connection that the system had taken was dropped.
+    /// A connection that the gateway, or the operating system for it, had accepted was dropped.
     Dropped,
-    /// A message whose client was told that it is refused was sent.
+    /// A message was sent although its client had been told that it is not accepted.
     RefusedAndForwarded,
-    /// A message was sent after the notification of its end.
+    /// A message was sent after the notification of its final outcome.
     ForwardedAfterEnd,
-    /// A message that may have run was sent again, against its class.
+    /// A message that may have been processed was sent again, which its class forbids.
     Duplicate,
-    /// An accepted message was given up without a request, with most of its time left.
+    /// An accepted message was given up without a request too long before its deadline.
     EarlyGivenUp,
-    /// A message was sent before one of its key that was accepted ahead of it was over.
+    /// A message was sent before an earlier message of its order key was settled.
     OrderBroken,
-    /// A request was sent inside the wait that an endpoint had asked for.
+    /// A request was sent before the end of a `Retry-After` that its endpoint had sent.
     RetryAfterBroken,
-    /// A request was sent to an endpoint that was known to drain.
+    /// A request was sent to an endpoint that the gateway knew to be draining.
     DrainBroken,
-    /// A recovering endpoint got more than it bears.
+    /// Gateways that knew of an outage overloaded the recovering endpoint.
     SlowStartBroken,
-    /// An accepted message never had an end.
+    /// An accepted message never got a final outcome.
     NoEnd,
 }
 
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// Which invariant is violated.
     pub kind: ViolationKind,
-    /// When it was seen; none for what never came.
+    /// Time of the event that shows the violation; none if an event is missing.
     pub at: Option<Duration>,
-    /// The message.
+    /// Id of the message.
     pub id: String,
-    /// The message of its key that it overtook.
+    /// Id of the message of the same order key that it overtook, if the order is violated.
     pub overtaken: Option<String>,
 }
 
@@ -119,39 +120,42 @@
             write!(formatter, "{at:?}: ")?;
         }
         match self.kind {
-            ViolationKind::Lost => write!(formatter, "{id} had no reply, or its end too late"),
-            ViolationKind::WrongReply => write!(formatter, "{id} had a reply that is none"),
+            ViolationKind::Lost => write!(formatter, "{id} had no reply, or its final outcome too late"),
+            ViolationKind::WrongReply => write!(formatter, "{id} had an invalid reply"),
             ViolationKind::Dropped => write!(formatter, "{id}: its connection was dropped"),
-            ViolationKind::RefusedAndForwarded => write!(formatter, "{id} was refused and sent"),
-            ViolationKind::ForwardedAfterEnd => write!(formatter, "{id} was sent after its end"),
-            ViolationKind::Duplicate => write!(formatter, "{id} was sent again, which may have run"),
-            ViolationKind::EarlyGivenUp => write!(formatter, "{id} was given up early, never sent"),
+            ViolationKind::RefusedAndForwarded => write!(formatter, "{id} was refused, but sent"),
+            ViolationKind::ForwardedAfterEnd => write!(formatter, "{id} was sent after its final outcome"),
+            ViolationKind::Duplicate => write!(formatter, "{id} was sent again, but may have been processed"),
+            ViolationKind::EarlyGivenUp => write!(formatter, "{id} was given up early without a request"),
             ViolationKind::OrderBroken => {
-                let before = self.overtaken.as_deref().unwrap_or_default();
-                write!(formatter, "{id} was sent before {before} of its key was over")
+                let earlier = self.overtaken.as_deref().unwrap_or_default();
+                write!(formatter, "{id} was sent before {earlier} of its order key was settled")
+            }
+            ViolationKind::RetryAfterBroken => {
+                write!(formatter, "{id} was sent before the end of a Retry-After")
             }
-            ViolationKind::RetryAfterBroken => write!(formatter, "{id} was sent inside a Retry-After"),
             ViolationKind::DrainBroken => write!(formatter, "{id} was sent to a draining endpoint"),
             ViolationKind::SlowStartBroken => {
-                write!(formatter, "{id} was too much for a recovering endpoint")
+                write!(formatter, "{id} overloaded a recovering endpoint")
             }
-            ViolationKind::NoEnd => write!(formatter, "{id} was taken on and is lost"),
+            ViolationKind::NoEnd => write!(formatter, "{id} was accepted, but had no final outcome"),
         }
     }
 }
 
-/// Violations of the delivery rules: each accepted message is delivered or notified of, one without idempotency key is
-/// never sent again after it may have run, and messages of a key are sent in the order of their acceptance.
+/// Describes the violations of the invariants under the default rules. Among others, each accepted message is delivered
+/// or notified of, a message without an idempotency key is never sent again once it may have been processed, and
+/// messages of an order key are sent in the order in which they were accepted.
 pub fn check_invariants(events: &[TimedEvent]) -> Vec<String> {
     find_violations(events, InvariantRules::default()).iter().map(ToString::to_string).collect()
 }
 
-/// All violations of the invariants by these rules, in the order in which they were seen.
+/// All violations of the invariants under these rules, in the order of the events that show them.
 pub fn find_violations(events: &[TimedEvent], rules: InvariantRules) -> Vec<Violation> {
-    // Threads record beside each other: the order of the times is that on the sockets.
+    // Threads record events concurrently; the order of the event times is the order on the sockets.
     let mut in_order: Vec<&TimedEvent> = events.iter().collect();
     in_order.sort_by_key(|(at, _)| *at);
-    // A request may be seen before its client has read that the message is accepted, or refused.
+    // Collected first, because a request can be received before its client has read whether the message is accepted.
     let facts = Facts::collect(&in_order, rules.restart_grace);
     let mut outcomes = Outcomes::new(&facts, rules);
     let mut key_order = KeyOrder::new(&facts, rules.settle_time);
@@ -165,6 +169,6 @@
         violations.extend(key_order.on_event(*at, event));
         violations.extend(endpoint_limits.on_event(*at, event));
     }
-    violations.extend(outcomes.without_end());
+    violations.extend(outcomes.without_outcome());
     violations
 }
--- a/crates/fakes/src/platform/invariants/key_order.rs
+++ b/crates/fakes/src/platform/invariants/key_order.rs
@@ -1,4 +1,5 @@
-//! Checks of order: messages of a key one at a time, in the order accepted, with a rest behind an attempt that may still run.
+//! Checks the order of messages: those of an order key are sent one at a time in the order in which they were accepted,
+//! and other messages of the key wait for the settle time after an attempt that may still be running.
 
 use super::super::events::PlatformEvent;
 use super::facts::Facts;
@@ -6,39 +7,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a key rests.
-struct KeyRest<'a> {
+/// The period after an attempt that may still be running, in which no other message of its order key may be sent.
+struct SettlePeriod<'a> {
     until: Duration,
-    /// The message whose attempt may still run.
-    behind: &'a str,
+    /// Id of the message whose attempt may still be running.
+    message: &'a str,
 }
 
-/// The keys so far.
+/// State of the order keys after the events so far.
 pub(super) struct KeyOrder<'a> {
     facts: &'a Facts<'a>,
     settle_time: Duration,
-    /// Messages that were delivered, released, or whose notification was answered.
-    over: BTreeSet<&'a str>,
-    /// Messages with a request that has had neither a response nor an end.
+    /// Messages that were delivered or released, or whose notification was acknowledged.
+    settled: BTreeSet<&'a str>,
+    /// Messages with a request that has neither been responded to nor lost its connection.
     open_requests: BTreeSet<&'a str>,
-    rests: BTreeMap<u64, KeyRest<'a>>,
+    /// The last settle period of each order key.
+    settle_periods: BTreeMap<u64, SettlePeriod<'a>>,
 }
 
 impl<'a> KeyOrder<'a> {
     pub fn new(facts: &'a Facts<'a>, settle_time: Duration) -> Self {
-        let (over, open_requests, rests) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
-        KeyOrder { facts, settle_time, over, open_requests, rests }
+        let (settled, open_requests, settle_periods) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
+        KeyOrder { facts, settle_time, settled, open_requests, settle_periods }
     }
 
-    /// Checks one event.
+    /// Applies one event; returns the violation that it shows, if any.
     pub fn on_event(&mut self, at: Duration, event: &'a PlatformEvent) -> Option<Violation> {
         match event {
             PlatformEvent::RequestReceived { id, .. } => return self.on_request(at, id),
             PlatformEvent::Delivered { id } | PlatformEvent::Released { id } => {
-                self.over.insert(id);
+                self.settled.insert(id);
                 self.open_requests.remove(id.as_str());
             }
-            PlatformEvent::NotificationAnswered { id } => drop(self.over.insert(id)),
+            PlatformEvent::NotificationAnswered { id } => drop(self.settled.insert(id)),
             PlatformEvent::NotExecuted { id }
             | PlatformEvent::Failed { id }
             | PlatformEvent::LateResponse { id } => drop(self.open_requests.remove(id.as_str())),
@@ -51,20 +53,20 @@
     fn on_attempt_ended(&mut self, at: Duration, id: &'a str) {
         self.open_requests.remove(id);
         if let Some(key) = self.facts.key_of(id) {
-            self.rests.insert(key, KeyRest { until: at + self.settle_time, behind: id });
+            self.settle_periods.insert(key, SettlePeriod { until: at + self.settle_time, message: id });
         }
     }
 
     fn on_request(&mut self, at: Duration, id: &'a str) -> Option<Violation> {
         let key = self.facts.key_of(id)?;
-        let of_key = self.facts.key_order.get(&key).map_or(&[][..], Vec::as_slice);
-        let mut earlier = of_key.iter().take_while(|other| **other != id);
-        let unfinished = earlier.find(|other| !self.over.contains(**other));
-        let running = of_key.iter().find(|other| **other != id && self.open_requests.contains(**other));
-        let is_resting = |rest: &&KeyRest| rest.behind != id && at + LIMIT_SLACK < rest.until;
-        let resting = self.rests.get(&key).filter(is_resting).map(|rest| rest.behind);
+        let key_messages = self.facts.key_order.get(&key).map_or(&[][..], Vec::as_slice);
+        let mut earlier = key_messages.iter().take_while(|other| **other != id);
+        let unfinished = earlier.find(|other| !self.settled.contains(**other));
+        let running = key_messages.iter().find(|other| **other != id && self.open_requests.contains(**other));
+        let is_settling = |period: &&SettlePeriod| period.message != id && at + LIMIT_SLACK < period.until;
+        let settling = self.settle_periods.get(&key).filter(is_settling).map(|period| period.message);
         self.open_requests.insert(id);
-        let overtaken = unfinished.or(running).copied().or(resting)?;
+        let overtaken = unfinished.or(running).copied().or(settling)?;
         let overtaken = Some(overtaken.to_owned());
         Some(Violation { overtaken, ..Violation::new(ViolationKind::OrderBroken, at, id) })
     }
--- a/crates/fakes/src/platform/invariants/outcomes.rs
+++ b/crates/fakes/src/platform/invariants/outcomes.rs
@@ -1,4 +1,5 @@
-//! Checks of outcomes: one end for each accepted message, in time; nothing sent against its class or behind its end.
+//! Checks the final outcomes: each accepted message gets one in time, and no message is sent after it or more often
+//! than its class allows.
 
 use super::super::events::PlatformEvent;
 use super::facts::{Facts, Restart, Submission};
@@ -6,16 +7,17 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Outcomes so far.
+/// State of the messages after the events so far.
 pub(super) struct Outcomes<'a> {
     facts: &'a Facts<'a>,
     rules: InvariantRules,
     /// Messages that were delivered or notified of.
     ended: BTreeSet<&'a str>,
-    /// When the first notification of a message came.
+    /// When the first notification of each message arrived.
     notified: HashMap<&'a str, Duration>,
-    /// When the first request that may have run came.
-    may_have_run: HashMap<&'a str, Duration>,
+    /// When the first request of each message that may have been executed arrived.
+    first_possible_execution: HashMap<&'a str, Duration>,
+    /// Messages of which a request arrived.
     sent: BTreeSet<&'a str>,
     violations: Vec<Violation>,
 }
@@ -27,45 +29,45 @@
             rules,
             ended: BTreeSet::new(),
             notified: HashMap::new(),
-            may_have_run: HashMap::new(),
+            first_possible_execution: HashMap::new(),
             sent: BTreeSet::new(),
             violations: Vec::new(),
         }
     }
 
-    /// Checks one event.
+    /// Applies one event; returns the violations that it shows.
     pub fn on_event(&mut self, at: Duration, event: &'a PlatformEvent) -> Vec<Violation> {
         match event {
             PlatformEvent::RequestReceived { id, .. } => self.on_request(at, id),
-            PlatformEvent::NotExecuted { id } => drop(self.may_have_run.remove(id.as_str())),
-            PlatformEvent::Delivered { id } | PlatformEvent::Released { id } => self.on_end(at, id),
+            PlatformEvent::NotExecuted { id } => drop(self.first_possible_execution.remove(id.as_str())),
+            PlatformEvent::Delivered { id } | PlatformEvent::Released { id } => self.on_outcome(at, id),
             PlatformEvent::Notification { id, status, .. } => self.on_notification(at, id, status),
-            PlatformEvent::Unanswered { id } => self.violate(ViolationKind::Lost, at, id),
-            PlatformEvent::ConnectionDropped { id } => self.violate(ViolationKind::Dropped, at, id),
+            PlatformEvent::Unanswered { id } => self.add_violation(ViolationKind::Lost, at, id),
+            PlatformEvent::ConnectionDropped { id } => self.add_violation(ViolationKind::Dropped, at, id),
             _ => {}
         }
         std::mem::take(&mut self.violations)
     }
 
-    fn violate(&mut self, kind: ViolationKind, at: Duration, id: &str) {
+    fn add_violation(&mut self, kind: ViolationKind, at: Duration, id: &str) {
         self.violations.push(Violation::new(kind, at, id));
     }
 
     fn on_request(&mut self, at: Duration, id: &'a str) {
         self.sent.insert(id);
         if self.facts.refused.contains(id) {
-            self.violate(ViolationKind::RefusedAndForwarded, at, id);
+            self.add_violation(ViolationKind::RefusedAndForwarded, at, id);
         }
-        // One that comes this soon behind the notification may have been sent ahead of it: they go over connections of their
-        // own, and are read by threads of their own.
+        // A request that arrives this soon after the notification may have been sent before it: the two use separate
+        // connections, which separate threads read.
         if self.notified.get(id).is_some_and(|notified| at > *notified + LIMIT_SLACK) {
-            self.violate(ViolationKind::ForwardedAfterEnd, at, id);
+            self.add_violation(ViolationKind::ForwardedAfterEnd, at, id);
         }
         let Some(message) = self.facts.accepted.get(id) else { return };
         let window = if message.unrepeatable { Duration::ZERO } else { self.rules.repeat_window };
-        let first = *self.may_have_run.entry(id).or_insert(at);
+        let first = *self.first_possible_execution.entry(id).or_insert(at);
         if at > first.saturating_add(window) {
-            self.violate(ViolationKind::Duplicate, at, id);
+            self.add_violation(ViolationKind::Duplicate, at, id);
         }
     }
 
@@ -76,38 +78,39 @@
             at < submission.at + submission.time_left.mul_f64(self.rules.min_give_up_share)
         });
         if is_early && status == "deferred" && !self.sent.contains(id) {
-            self.violate(ViolationKind::EarlyGivenUp, at, id);
+            self.add_violation(ViolationKind::EarlyGivenUp, at, id);
         }
-        self.on_end(at, id);
+        self.on_outcome(at, id);
     }
 
-    fn on_end(&mut self, at: Duration, id: &'a str) {
+    fn on_outcome(&mut self, at: Duration, id: &'a str) {
         let is_first = self.ended.insert(id);
         if is_first && self.facts.accepted.contains_key(id) && self.is_overdue(at, id) {
-            self.violate(ViolationKind::Lost, at, id);
+            self.add_violation(ViolationKind::Lost, at, id);
         }
     }
 
-    /// Whether a message's end is due by now, and no restart of its gateway excuses it.
+    /// Whether the final outcome of a message is late and no restart of its gateway excuses that.
     fn is_overdue(&self, now: Duration, id: &str) -> bool {
         let Some(Submission { at, gateway, time_left }) = self.facts.submissions.get(id) else {
             return false;
         };
         let due = (*at + *time_left).saturating_add(self.rules.outcome_slack);
-        let is_excused =
-            |restart: &Restart| restart.gateway == *gateway && restart.from <= due && now <= restart.until;
+        let is_excused = |restart: &Restart| {
+            restart.gateway == *gateway && restart.from <= due && now <= restart.grace_end
+        };
         now > due && !self.facts.restarts.iter().any(is_excused)
     }
 
-    /// The accepted messages that never had an end.
-    pub fn without_end(&self) -> Vec<Violation> {
-        let lost = self.facts.accepted.keys().filter(|id| !self.ended.contains(**id));
+    /// Violations for the accepted messages that never got a final outcome.
+    pub fn without_outcome(&self) -> Vec<Violation> {
+        let missing = self.facts.accepted.keys().filter(|id| !self.ended.contains(**id));
         let violation = |id: &&str| Violation {
             kind: ViolationKind::NoEnd,
             at: None,
             id: (*id).to_owned(),
             overtaken: None,
         };
-        lost.map(violation).collect()
+        missing.map(violation).collect()
     }
 }
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of a fake platform, one thread for each connection.
+//! HTTP servers of a fake platform, with one thread for each connection.
 
 use super::state::Shared;
 use cloverstile_http::{DecodedItem, Decoder, Limits, Message};
@@ -8,24 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a server that accepts no connection looks whether it may.
+/// How often a server that does not accept connections checks whether it may accept them again.
 const CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes read from a connection at once.
+/// Most bytes that one read takes from a connection.
 const READ_BUFFER: usize = 4096;
 
-/// Whether a connection goes on after a response.
+/// Whether a connection stays open after a request has been served.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum AfterResponse {
     KeepOpen,
     Close,
 }
 
-/// Serves HTTP on a loopback port of its own; returns its address. No connection is accepted while `is_closed`.
+/// Serves HTTP on a free loopback port; returns its address. No connection is accepted while `is_closed` returns true.
 pub(super) fn listen(
     shared: &Arc<Shared>,
     backlog: i32,
     is_closed: impl Fn(&Shared) -> bool + Send + 'static,
-    serve: impl Fn(&Shared, Message, &mut TcpStream) -> io::Result<Next> + Clone + Send + 'static,
+    serve: impl Fn(&Shared, Message, &mut TcpStream) -> io::Result<AfterResponse> + Clone + Send + 'static,
 ) -> io::Result<SocketAddr> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into())?;
@@ -51,7 +51,7 @@
             let Ok((mut stream, _)) = stream else { continue };
             let (shared, serve) = (shared.clone(), serve.clone());
             std::thread::spawn(move || {
-                // A failure of the connection is the gateway's to notice.
+                // The gateway sees the failure of a connection by itself.
                 let _ = serve_connection(&shared, &mut stream, serve);
             });
         }
@@ -59,7 +59,7 @@
     Ok(address)
 }
 
-/// Resets the connections that came up while none was accepted: what was sent on them is not executed.
+/// Resets the connections that were established while none was accepted. Requests sent on them are not executed.
 fn reset_queued(listener: &TcpListener) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     while let Ok((stream, _)) = listener.accept() {
@@ -71,14 +71,14 @@
 fn serve_connection(
     shared: &Shared,
     stream: &mut TcpStream,
-    serve: impl Fn(&Shared, Message, &mut TcpStream) -> io::Result<Next>,
+    serve: impl Fn(&Shared, Message, &mut TcpStream) -> io::Result<AfterResponse>,
 ) -> io::Result<()> {
     let mut decoder = Decoder::server(Limits::default());
     let mut buffer = [0; READ_BUFFER];
     loop {
         while let Ok(Some(item)) = decoder.next(shared.now()) {
             if let DecodedItem::Message(message) = item {
-                if serve(shared, message, stream)? == Next::Close {
+                if serve(shared, message, stream)? == AfterResponse::Close {
                     return Ok(());
                 }
             }
--- a/crates/fakes/src/platform/state.rs
+++ b/crates/fakes/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! State that the threads of a fake platform share: events so far, endpoint behaviour, the endpoint list.
+//! State that the threads of a fake platform share: recorded events, configured behaviour and the endpoint list.
 
 use super::events::{PlatformEvent, TimedEvent};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -7,84 +7,93 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What an endpoint does with a request.
+/// How an endpoint handles a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointBehaviour {
     /// Responds with status 200 after this time.
     Deliver(Duration),
-    /// Responds with these bytes.
+    /// Responds with these bytes. If they are not a complete response, the connection stays open until the gateway
+    /// closes it.
     Respond(Vec<u8>),
-    /// Never responds, and keeps the connection open.
+    /// Never responds, and keeps the connection open until the gateway closes it.
     Silent,
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Disconnect,
-    /// Resets the connection after this time.
+    /// Resets the connection after this time, or earlier if the gateway closes it.
     Reset(Duration),
-    /// Responds with status 200 and closes the connection, on which the next request may be on its way.
+    /// Responds with status 200 and closes the connection, on which the next request may already be on its way.
     DeliverAndClose,
-    /// Responds with status 200 so long after the time that the request states, and its message's own, are over: that is no
-    /// delivery.
+    /// Responds with status 200 this long after both the deadline of the request and that of its message, so that the
+    /// response does not count as delivery.
     DeliverLate(Duration),
 }
 
-/// What a discovery agent does.
+/// How a discovery agent handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentBehaviour {
-    /// Answers at once, the list once it has changed.
+    /// Answers notifications at once, and requests for the endpoint list once it has changed.
     Prompt,
-    /// Reads notifications and never answers them.
+    /// Reads notifications and never answers; the connection stays open until the gateway closes it.
     LeavesNotifications,
     /// Answers notifications after this time.
     AnswersNotificationsLate(Duration),
-    /// Reads notifications and closes the connection.
+    /// Reads notifications and closes the connection without an answer.
     BreaksNotifications,
-    /// Answers no question for the list: discovery is down.
+    /// Never answers requests for the endpoint list, as in an outage of discovery.
     WithholdsLists,
-    /// Its lists break off half-way.
+    /// Closes the connection after half of the response with the endpoint list.
     TearsLists,
 }
 
-/// Requests a second that the endpoint list states for an endpoint, unless another number is set.
+/// Rate limit in requests per second that the endpoint list states for an endpoint until another one is set.
 const DEFAULT_WEIGHT: f64 = 100.0;
 
-/// An instance in the endpoint list.
+/// Entry of the endpoint list.
 pub(super) struct ListedInstance {
     /// Index of its endpoint.
     pub(super) endpoint: usize,
-    /// Its destination.
-    pub(super) cell: u16,
+    /// Destination that the endpoint serves.
+    pub(super) destination: u16,
+    /// `SERVING` or `DRAINING`.
     pub(super) lifecycle: &'static str,
 }
 
+/// State of a fake platform that changes while it runs.
 pub(super) struct State {
     pub(super) events: Vec<TimedEvent>,
+    /// Behaviour of each endpoint, by index.
     pub(super) behaviour: Vec<EndpointBehaviour>,
-    /// Endpoints that accept no connection at present.
+    /// Endpoints that do not accept connections at present.
     pub(super) closed_to_connections: BTreeSet<usize>,
+    /// Behaviour of each discovery agent, by the index of its address.
     pub(super) agents: Vec<AgentBehaviour>,
-    /// When the time of a message is over, as its client counts it.
-    pub(super) message_ends: HashMap<String, Duration>,
-    /// Version of the endpoint list.
+    /// Deadline of each message by its id, counted from the moment at which the client submitted it.
+    pub(super) message_deadlines: HashMap<String, Duration>,
+    /// Version of the endpoint list, raised by each change.
     pub(super) generation: u64,
+    /// Entries of the endpoint list by instance id.
     pub(super) instances: BTreeMap<String, ListedInstance>,
-    /// Requests a second that the list states for each endpoint.
+    /// Rate limit in requests per second that the list states for each endpoint.
     pub(super) weight: f64,
 }
 
 impl State {
-    /// Endpoints of these destinations, all serving.
-    pub(super) fn new(cells: &[u16], agents: usize) -> Self {
-        let instance = |(endpoint, cell): (usize, &u16)| {
-            (instance_id(endpoint), ListedInstance { endpoint, cell: *cell, lifecycle: "SERVING" })
+    /// One endpoint for each of these destinations, all serving.
+    pub(super) fn new(destinations: &[u16], agents: usize) -> Self {
+        let instance = |(endpoint, destination): (usize, &u16)| {
+            (
+                instance_id(endpoint),
+                ListedInstance { endpoint, destination: *destination, lifecycle: "SERVING" },
+            )
         };
         State {
             events: Vec::new(),
-            behaviour: vec![EndpointBehaviour::Deliver(Duration::ZERO); cells.len()],
+            behaviour: vec![EndpointBehaviour::Deliver(Duration::ZERO); destinations.len()],
             closed_to_connections: BTreeSet::new(),
             agents: vec![AgentBehaviour::Prompt; agents],
-            message_ends: HashMap::new(),
+            message_deadlines: HashMap::new(),
             generation: 1,
-            instances: cells.iter().enumerate().map(instance).collect(),
+            instances: destinations.iter().enumerate().map(instance).collect(),
             weight: DEFAULT_WEIGHT,
         }
     }
@@ -96,19 +105,19 @@
         }
     }
 
-    /// The endpoints that drain.
+    /// Indices of the draining endpoints.
     pub(super) fn draining(&self) -> Vec<usize> {
         let is_draining = |instance: &&ListedInstance| instance.lifecycle == "DRAINING";
         self.instances.values().filter(is_draining).map(|instance| instance.endpoint).collect()
     }
 
-    /// The endpoint list in the form of discovery's responses.
+    /// The endpoint list in the JSON form of discovery's responses.
     pub(super) fn list_json(&self, addresses: &[SocketAddr]) -> serde_json::Value {
         let instance = |(id, instance): (&String, &ListedInstance)| {
             serde_json::json!({
                 "instanceId": id, "hostPort": addresses[instance.endpoint].to_string(), "zone": "here",
-                "machineType": "any", "cell": instance.cell, "lifecycle": instance.lifecycle, "weight": self.weight,
-                "startedAtMs": 0,
+                "machineType": "any", "cell": instance.destination, "lifecycle": instance.lifecycle,
+                "weight": self.weight, "startedAtMs": 0,
             })
         };
         let instances: Vec<serde_json::Value> = self.instances.iter().map(instance).collect();
@@ -120,7 +129,7 @@
     format!("s-{endpoint}")
 }
 
-/// The state, its changes and the clock.
+/// The state, with notice of its changes, and the clock that event times are taken from.
 pub(super) struct Shared {
     state: Mutex<State>,
     changed: Condvar,
@@ -138,7 +147,7 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the start of the platform, the time of an event recorded now.
     pub(super) fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -151,18 +160,18 @@
         self.record_at(self.now(), event);
     }
 
-    /// Records an event of a moment ago.
+    /// Records an event that happened at an earlier time.
     pub(super) fn record_at(&self, at: Duration, event: PlatformEvent) {
         let mut state = self.state();
         if let PlatformEvent::Submitted { id, time_left, .. } = &event {
-            state.message_ends.insert(id.clone(), at + *time_left);
+            state.message_deadlines.insert(id.clone(), at + *time_left);
         }
         state.events.push((at, event));
         drop(state);
         self.changed.notify_all();
     }
 
-    /// Wakes all threads that wait for a change of the state.
+    /// Wakes the threads that wait for a change of the state.
     pub(super) fn notify_changed(&self) {
         self.changed.notify_all();
     }
@@ -176,20 +185,20 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Waits until the state is as wanted, at most for `timeout`; returns the state then.
+    /// Waits until the state satisfies `condition`, at most for `timeout`; returns the locked state.
     pub(super) fn wait_for(
         &self,
         timeout: Duration,
-        mut wanted: impl FnMut(&State) -> bool,
+        mut condition: impl FnMut(&State) -> bool,
     ) -> MutexGuard<'_, State> {
         let end = Instant::now() + timeout;
         let mut state = self.state();
-        while !wanted(&state) {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while !condition(&state) {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            state = match self.changed.wait_timeout(state, left) {
+            state = match self.changed.wait_timeout(state, remaining) {
                 Ok((state, _)) => state,
                 Err(error) => error.into_inner().0,
             };
--- a/crates/fakes/src/platform/submission.rs
+++ b/crates/fakes/src/platform/submission.rs
@@ -1,24 +1,24 @@
-//! A client's side of a submission over RESP2: the command and the reply line.
+//! Client's side of a submission over RESP2: encodes the command and reads the reply line.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// The arguments of one `MSG.PUT`.
+/// The arguments of one `MSG.PUT` command.
 #[derive(Clone, Debug)]
 pub struct PutCommand {
-    /// Message id.
+    /// Message id, chosen by the client.
     pub id: String,
     /// Order key, 0 for none.
     pub key: u64,
-    /// Class by name.
+    /// Name of the class, as in the gateway's configuration.
     pub class: String,
     /// Time until the deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// Destination.
+    /// Number of the destination (`dest`).
     pub destination: u16,
-    /// Idempotency key, in a class whose messages carry one.
+    /// Idempotency key; none if the message must not be sent again once it may have been processed.
     pub idempotency: Option<String>,
-    /// Body.
+    /// Body that the gateway forwards to an endpoint.
     pub body: Vec<u8>,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reads one line of a reply; returns it without its end.
+/// Reads one line of a reply; returns it without the line ending.
 ///
 /// # Errors
 ///
--- a/crates/fault-injection/examples/preload/control.rs
+++ b/crates/fault-injection/examples/preload/control.rs
@@ -61,7 +61,7 @@
 
 impl MappedControl {
     fn word(&self, offset: usize) -> &AtomicU64 {
-        // SAFETY: all offsets in use are inside the mapping and multiples of eight, and both processes access whole words.
+        // SAFETY: all offsets in use are inside the mapping and multiples of eight; both processes access whole words.
         unsafe { &*self.0.add(offset).cast::<AtomicU64>() }
     }
 
--- a/crates/fault-injection/src/layout.rs
+++ b/crates/fault-injection/src/layout.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | 0 | offset added to the wall clock, in nanoseconds, signed |
 //! | 1 | unused |
-//! | 2 + 8 n .. 10 + 8 n | rule n: call (0: no rule), effect, errno, byte count, delay in nanoseconds, calls to skip, calls left to affect, calls affected |
+//! | 2 + 8 n .. 10 + 8 n | rule n: call (0: no rule), effect, errno, bytes, delay (ns), calls to skip, calls left, calls affected |
 
 /// Environment variable that holds the path of the control file.
 pub const CONTROL_VARIABLE: &str = "CLOVERSTILE_FAULTS";
--- a/crates/fault-injection/src/planted.rs
+++ b/crates/fault-injection/src/planted.rs
@@ -1,6 +1,7 @@
 //! Defects that are planted in the gateway to verify that the testbench finds them.
 //!
-//! The gateway's packages contain them only if they are built with the feature `planted-defects`, which releases are not.
+//! The gateway's packages contain them only if they are built with the feature `planted-defects`, which releases never
+//! have.
 
 use std::sync::OnceLock;
 
--- a/crates/fault-injection/src/rule.rs
+++ b/crates/fault-injection/src/rule.rs
@@ -31,7 +31,7 @@
     Receive = 11,
     /// `setsockopt`.
     SocketOption = 12,
-    /// `clock_gettime` of the monotonic clock. Only [`Effect::Delay`] applies, and the delay follows the clock read.
+    /// `clock_gettime` of the monotonic clock. Only [`Effect::Delay`] applies, and follows the clock read.
     MonotonicClock = 13,
 }
 
@@ -42,7 +42,7 @@
     Error(i32),
     /// The call transfers at most this many bytes, and at least one.
     Short(u64),
-    /// The call transfers at most `bytes` bytes and then fails with `errno`. A rename with `bytes` of at least 1 is done
+    /// The call transfers at most `bytes` bytes and then fails with `errno`. A rename is done if `bytes` is at least 1,
     /// and reported as failed.
     Torn {
         /// Most bytes that are transferred before the call fails.
