--- a/crates/fakes/src/platform/invariants.rs
+++ b/crates/fakes/src/platform/invariants.rs
@@ -13,7 +13,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Tolerance of every time limit, as the protocol defines it.
+/// Tolerance that the protocol adds to every time limit.
 const LIMIT_SLACK: Duration = Duration::from_millis(50);
 
 /// How many requests an endpoint can take while it recovers from an outage. Its capacity grows linearly during the
