--- a/crates/testbench/src/invariants.rs
+++ b/crates/testbench/src/invariants.rs
@@ -1,7 +1,7 @@
-//! Checks of the delivery invariants against the record of a run. No I/O; gateway logs are never read.
+//! Checks the delivery invariants against the record of a run. Does no I/O and never reads gateway logs.
 //!
-//! Fake partners and clients write the record. Their times are a little later than what caused them, and those of
-//! different threads do not agree to the microsecond: what lies within [`CLOCK_SKEW_US`] of a bound passes.
+//! Fake partners and clients write the record. Each timestamp is slightly later than the event itself, and timestamps
+//! of different threads differ slightly, so every bound has a tolerance of [`CLOCK_SKEW_US`].
 
 mod history;
 mod ordering;
@@ -18,7 +18,7 @@
 use cloverstile_fakes::record::RecordLine;
 use history::RunHistory;
 
-/// Checks a record against all invariants.
+/// Checks the record of a whole run against all invariants; violations are sorted by time.
 pub fn check_invariants(lines: &[RecordLine], settings: &InvariantSettings) -> InvariantReport {
     let run = RunHistory::from_lines(lines);
     let mut report = InvariantReport {
--- a/crates/testbench/src/invariants/history.rs
+++ b/crates/testbench/src/invariants/history.rs
@@ -1,32 +1,32 @@
-//! The record of a run, sorted by message. Times are in microseconds from its start.
+//! The record of a run, grouped by message. Times are in microseconds from the start of the run.
 
 use cloverstile_fakes::record::{ObservedEvent, RecordLine, ReportedOutcome, RequestEnd};
 use std::collections::{BTreeMap, HashMap};
 
-/// A submission of a message to a gateway.
+/// One submission of a message to a gateway; a resubmission is a further one.
 pub(super) struct Submission {
     pub at: u64,
     pub gateway: usize,
 }
 
-/// What a gateway answered about a message.
+/// The outcome of a message as a gateway reported it to the client.
 pub(super) struct Answer {
     pub at: u64,
     pub gateway: usize,
     pub outcome: ReportedOutcome,
 }
 
-/// The end of a request, as its partner saw it.
+/// How and when a request ended, as observed by the partner.
 #[derive(Clone, Copy)]
 pub(super) struct TimedEnd {
     pub at: u64,
-    pub how: RequestEnd,
+    pub end: RequestEnd,
 }
 
-/// A request at a partner's endpoint.
+/// A request that reached an endpoint of a partner.
 pub(super) struct Request<'a> {
     pub at: u64,
-    /// AS2 name of the gateway.
+    /// AS2 name of the sending gateway.
     pub gateway: &'a str,
     pub partner: &'a str,
     pub endpoint: usize,
@@ -34,20 +34,20 @@
 }
 
 impl Request<'_> {
-    /// Only a rejection proves that the message did not run.
+    /// Whether the partner may have processed the message: only a rejection proves that it did not.
     pub fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some(TimedEnd { how: RequestEnd::Rejected(_), .. }))
+        !matches!(self.end, Some(TimedEnd { end: RequestEnd::Rejected(_), .. }))
     }
 }
 
-/// All that was seen of one message, each list in the order of the record.
+/// All recorded events of one message, each list in the order of the record.
 #[derive(Default)]
 pub(super) struct MessageHistory<'a> {
     pub class: &'a str,
     pub key: Option<&'a str>,
     pub deadline: u64,
     pub submissions: Vec<Submission>,
-    /// When a gateway said that it holds the message.
+    /// When a gateway confirmed that it had accepted the message.
     pub accepted_at: Vec<u64>,
     pub answers: Vec<Answer>,
     pub requests: Vec<Request<'a>>,
@@ -56,19 +56,19 @@
 }
 
 impl MessageHistory<'_> {
-    /// When the message was first answered as rejected, which promises that it never ran.
+    /// When a gateway first reported the message as rejected, which guarantees that it was never processed.
     pub fn rejected_at(&self) -> Option<u64> {
         self.answers.iter().find(|answer| answer.outcome == ReportedOutcome::Rejected).map(|answer| answer.at)
     }
 }
 
-/// A gateway was killed.
+/// The time at which a gateway process was killed.
 pub(super) struct Kill {
     pub at: u64,
     pub gateway: usize,
 }
 
-/// All messages of a run by id, and the kills of gateways.
+/// The message histories of a run by message id, and every time a gateway was killed.
 #[derive(Default)]
 pub(super) struct RunHistory<'a> {
     pub messages: BTreeMap<&'a str, MessageHistory<'a>>,
@@ -76,24 +76,24 @@
 }
 
 impl<'a> RunHistory<'a> {
-    /// Sorts a record by message.
+    /// Groups the lines of a record by message and assigns each request its end.
     pub fn from_lines(lines: &'a [RecordLine]) -> RunHistory<'a> {
         let mut run = RunHistory::default();
-        // Message and position of each request, by the number of the call.
-        let mut calls: HashMap<u64, (&str, usize)> = HashMap::new();
+        // Message id and position in its history of each request, by request number.
+        let mut positions: HashMap<u64, (&str, usize)> = HashMap::new();
         for line in lines {
             match &line.event {
-                ObservedEvent::RequestReceived { id, request: call, .. } => {
+                ObservedEvent::RequestReceived { id, request: number, .. } => {
                     let position = run.messages.get(id.as_str()).map_or(0, |history| history.requests.len());
-                    calls.insert(*call, (id, position));
+                    positions.insert(*number, (id, position));
                     run.add(line);
                 }
-                ObservedEvent::RequestEnded { request: call, end: how } => {
-                    let request = calls
-                        .get(call)
+                ObservedEvent::RequestEnded { request: number, end } => {
+                    let request = positions
+                        .get(number)
                         .and_then(|(id, position)| run.messages.get_mut(id)?.requests.get_mut(*position));
                     if let Some(request) = request {
-                        request.end = Some(TimedEnd { at: line.at, how: *how });
+                        request.end = Some(TimedEnd { at: line.at, end: *end });
                     }
                 }
                 _ => run.add(line),
@@ -127,13 +127,13 @@
         }
     }
 
-    /// Whether a gateway was killed at any time.
+    /// Whether a gateway was killed at any time during the run.
     pub fn was_killed(&self, gateway: usize) -> bool {
         self.kills.iter().any(|kill| kill.gateway == gateway)
     }
 
-    /// Whether one of the gateways that a message was submitted to was killed at any time.
-    pub fn lost_a_gateway_of(&self, history: &MessageHistory) -> bool {
+    /// Whether any gateway that the message was submitted to was killed during the run.
+    pub fn any_gateway_killed(&self, history: &MessageHistory) -> bool {
         history.submissions.iter().any(|submission| self.was_killed(submission.gateway))
     }
 }
--- a/crates/testbench/src/invariants/ordering.rs
+++ b/crates/testbench/src/invariants/ordering.rs
@@ -1,4 +1,4 @@
-//! Messages of one key are sent in the order in which one gateway accepted them.
+//! Checks that a gateway sends the messages of one order key in the order in which it accepted them.
 
 use super::history::{MessageHistory, RunHistory, TimedEnd};
 use super::report::{Invariant, InvariantReport};
@@ -6,7 +6,7 @@
 use cloverstile_fakes::record::RequestEnd;
 use std::collections::HashMap;
 
-/// A message of an ordered key. The gateway accepted it between the two times.
+/// A message with an order key. The gateway accepted it between `submitted_at` and `known_accepted_at`.
 struct KeyedMessage<'a> {
     submitted_at: u64,
     known_accepted_at: u64,
@@ -14,16 +14,16 @@
     history: &'a MessageHistory<'a>,
 }
 
-/// Messages of one key at one gateway.
+/// Messages by gateway and order key.
 type KeyQueues<'a> = HashMap<(usize, &'a str), Vec<KeyedMessage<'a>>>;
 
-/// Checks the order of all keys.
+/// Checks each pair of messages that have the same order key and gateway.
 pub(super) fn check(run: &RunHistory, settings: &InvariantSettings, report: &mut InvariantReport) {
     for queue in key_queues(run, settings).values_mut() {
         queue.sort_by_key(|message| message.submitted_at);
         for (position, earlier) in queue.iter().enumerate() {
             for later in &queue[position + 1..] {
-                // Only where the one was accepted for certain before the other was submitted.
+                // The order is known only if the gateway had accepted one message before the other was submitted.
                 if earlier.known_accepted_at <= later.submitted_at {
                     check_pair(earlier, later, settings, report);
                 }
@@ -36,7 +36,7 @@
     let mut queues = KeyQueues::new();
     for (id, history) in &run.messages {
         let ordered = settings.classes.get(history.class).is_some_and(|class| class.ordered);
-        // With one submission there is one position in one queue.
+        // Only a message that was submitted once has a definite position in one queue.
         let (Some(key), true, [submission]) = (history.key, ordered, &history.submissions[..]) else {
             continue;
         };
@@ -58,19 +58,19 @@
     let (Some(first), Some(last)) = (later.history.requests.first(), earlier.history.requests.last()) else {
         return;
     };
-    let what = if last.at > first.at + CLOCK_SKEW_US {
+    let problem = if last.at > first.at + CLOCK_SKEW_US {
         Some(format!("sent before {}, which was accepted earlier", earlier.id))
-    } else if let Some(TimedEnd { at, how }) = last.end {
-        let cooldown = match how {
+    } else if let Some(TimedEnd { at, end }) = last.end {
+        let cooldown = match end {
             RequestEnd::ClientClosed | RequestEnd::Broken => settings.order_settle,
             RequestEnd::Processed | RequestEnd::Error | RequestEnd::Rejected(_) | RequestEnd::Deferred => 0,
         };
         let too_soon = first.at + CLOCK_SKEW_US < at + cooldown;
-        too_soon.then(|| format!("sent too soon after {}: {how:?}", earlier.id))
+        too_soon.then(|| format!("sent too soon after {}: {end:?}", earlier.id))
     } else {
         Some(format!("sent while {} was in flight", earlier.id))
     };
-    if let Some(what) = what {
-        report.violation(Invariant::KeyOrder, later.id, first.at, what);
+    if let Some(problem) = problem {
+        report.violation(Invariant::KeyOrder, later.id, first.at, problem);
     }
 }
--- a/crates/testbench/src/invariants/recovery.rs
+++ b/crates/testbench/src/invariants/recovery.rs
@@ -1,4 +1,4 @@
-//! What gateways that saw an outage send to the recovering partner stays under what it survives.
+//! Checks that gateways that observed an outage do not overload the recovering partner.
 
 use super::history::{Request, RunHistory};
 use super::report::{Invariant, InvariantReport};
@@ -6,19 +6,20 @@
 use cloverstile_fakes::record::{ObservedEvent, RecordLine};
 use std::collections::{HashMap, HashSet};
 
-/// Requests that a partner survives in every window on top of its share, so that small windows do not count.
+/// Requests allowed in every window on top of the capacity share, so that a few requests in a short window are no
+/// violation.
 const BURST_ALLOWANCE: f64 = 4.0;
 
-/// An outage that has ended.
+/// An outage that has ended, from `from` to `until` in microseconds.
 struct Outage<'a> {
     partner: &'a str,
-    /// The only zone that failed.
+    /// The zone that failed; `None` if all zones did.
     zone: Option<usize>,
     from: u64,
     until: u64,
 }
 
-/// Checks every recovery of a partner.
+/// Checks the warm-up period after each outage, and reports every recorded collapse of a partner.
 pub(super) fn check(
     lines: &[RecordLine],
     run: &RunHistory,
@@ -33,8 +34,8 @@
                 began_at.insert(partner, line.at);
             }
             ObservedEvent::Collapsed { partner } => {
-                let what = "it was overloaded as it recovered";
-                report.violation(Invariant::GentleRecovery, partner, line.at, what);
+                let problem = "it was overloaded as it recovered";
+                report.violation(Invariant::GentleRecovery, partner, line.at, problem);
             }
             ObservedEvent::Outage { partner, zone, began: false } => {
                 let from = began_at.remove(partner.as_str()).unwrap_or(0);
@@ -63,12 +64,13 @@
     report: &mut InvariantReport,
 ) {
     let Some(partner) = settings.partners.get(outage.partner) else { return };
-    // Where one zone failed, what went to the others does not count.
+    // If a single zone failed, requests to the other zones do not count.
     let in_zone = |request: &&Request| {
         outage.zone.is_none_or(|zone| partner.zones.get(request.endpoint) == Some(&zone))
     };
     let requests: Vec<&Request> = requests.iter().copied().filter(in_zone).collect();
-    // Refused connections leave no request: where none came through, any gateway may have been refused.
+    // Refused connections are not recorded as requests. If no request was recorded during the outage, any gateway may
+    // have been refused and so may know of it.
     let during = requests.iter().filter(|request| (outage.from..outage.until).contains(&request.at));
     let aware: HashSet<&str> = during.map(|request| request.gateway).collect();
     let is_aware = |request: &Request| aware.is_empty() || aware.contains(request.gateway);
@@ -82,23 +84,23 @@
             .filter(|request| last.at - request.at <= settings.overload_window)
             .collect();
         let budget = request_budget(last.at - outage.until, partner, settings);
-        let of_aware = window.iter().filter(|request| is_aware(request)).count();
-        if window.len() as f64 > budget && of_aware * 3 >= window.len() * 2 {
-            let what = format!(
-                "{} requests where it survives {budget:.0}, {of_aware} of gateways that saw the outage",
+        let from_aware = window.iter().filter(|request| is_aware(request)).count();
+        if window.len() as f64 > budget && from_aware * 3 >= window.len() * 2 {
+            let problem = format!(
+                "{} requests where it survives {budget:.0}, {from_aware} of gateways that saw the outage",
                 window.len()
             );
-            report.violation(Invariant::GentleRecovery, outage.partner, last.at, what);
+            report.violation(Invariant::GentleRecovery, outage.partner, last.at, problem);
             return;
         }
     }
 }
 
-/// Requests in a window that a partner survives so long after its return.
-fn request_budget(since_return: u64, partner: &PartnerRule, settings: &InvariantSettings) -> f64 {
-    let warmth = since_return as f64 / settings.warm_up.max(1) as f64;
+/// Requests that a partner can take in one window, `since_recovery` microseconds after the end of its outage.
+fn request_budget(since_recovery: u64, partner: &PartnerRule, settings: &InvariantSettings) -> f64 {
+    let warm_up_progress = since_recovery as f64 / settings.warm_up.max(1) as f64;
     let initial = settings.initial_capacity_share;
-    let share = initial + (1.0 - initial) * warmth;
+    let share = initial + (1.0 - initial) * warm_up_progress;
     let seconds = settings.overload_window as f64 / 1e6;
     settings.overload_multiple * partner.capacity * share * seconds + BURST_ALLOWANCE
 }
--- a/crates/testbench/src/invariants/repeats.rs
+++ b/crates/testbench/src/invariants/repeats.rs
@@ -1,4 +1,4 @@
-//! A message takes effect at most once, and is repeated only as its class permits.
+//! Checks that a message takes effect at most once, and that it is sent again only if its class permits.
 
 use super::history::{MessageHistory, Request};
 use super::report::{Invariant, InvariantReport};
@@ -6,7 +6,7 @@
 use crate::repeat_rule::RepeatRule;
 use std::time::Duration;
 
-/// Checks what took effect and what was sent.
+/// Checks the effects and requests of a message against the rules of its class.
 pub(super) fn check(
     id: &str,
     history: &MessageHistory,
@@ -25,18 +25,18 @@
 fn check_effects(id: &str, history: &MessageHistory, report: &mut InvariantReport) {
     if history.effects.len() > 1 {
         report.repeated_effects += 1;
-        let what = format!("took effect {} times", history.effects.len());
-        report.violation(Invariant::AtMostOnce, id, history.effects[1], what);
+        let problem = format!("took effect {} times", history.effects.len());
+        report.violation(Invariant::AtMostOnce, id, history.effects[1], problem);
     }
     if let Some(rejected_at) = history.rejected_at() {
         if history.effects.iter().any(|effect| *effect < rejected_at) {
-            let what = "rejected as safe to submit again, after it took effect";
-            report.violation(Invariant::AtMostOnce, id, rejected_at, what);
+            let problem = "rejected as safe to submit again, after it took effect";
+            report.violation(Invariant::AtMostOnce, id, rejected_at, problem);
         }
     }
 }
 
-/// Repeats stay inside group and window, and never two requests are in flight at once.
+/// Repeated requests must stay inside the group and the retry window, and only one may be in flight at a time.
 fn check_attempts(
     id: &str,
     history: &MessageHistory,
@@ -50,8 +50,8 @@
             .iter()
             .any(|earlier| earlier.end.is_none_or(|end| end.at > request.at + CLOCK_SKEW_US));
         if in_flight {
-            let what = "sent while an earlier attempt was in flight";
-            report.violation(Invariant::AtMostOnce, id, request.at, what);
+            let problem = "sent while an earlier attempt was in flight";
+            report.violation(Invariant::AtMostOnce, id, request.at, problem);
         }
         if let Some(first) = first_run {
             check_repeat(id, first, request, class, settings, report);
@@ -62,8 +62,8 @@
     if let Some(rejected_at) = history.rejected_at() {
         let ran = history.requests.iter().any(|request| request.at < rejected_at && request.may_have_run());
         if ran && !class.is_safe() {
-            let what = "rejected as safe to submit again, though it may have run";
-            report.violation(Invariant::AtMostOnce, id, rejected_at, what);
+            let problem = "rejected as safe to submit again, though it may have run";
+            report.violation(Invariant::AtMostOnce, id, rejected_at, problem);
         }
     }
 }
@@ -78,11 +78,11 @@
 ) {
     let since_first = Duration::from_micros(repeat.at.saturating_sub(first.at + CLOCK_SKEW_US));
     if !class.repeats.permits(since_first) {
-        let what = match class.repeats {
+        let problem = match class.repeats {
             RepeatRule::Forbidden => "an unsafe message sent again though it may have run",
             RepeatRule::Always | RepeatRule::Within(_) => "repeated after its window",
         };
-        report.violation(Invariant::AtMostOnce, id, repeat.at, what);
+        report.violation(Invariant::AtMostOnce, id, repeat.at, problem);
     }
     let zone =
         |request: &Request| settings.partners.get(request.partner)?.zones.get(request.endpoint).copied();
--- a/crates/testbench/src/invariants/report.rs
+++ b/crates/testbench/src/invariants/report.rs
@@ -1,8 +1,8 @@
-//! The result of a check: counts of messages, and violations.
+//! The result of an invariant check: message counts and violations.
 
 use serde::Serialize;
 
-/// A delivery invariant.
+/// A delivery invariant that gateways must uphold under every fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Invariant {
     /// Every message has one final outcome, in time, and nothing is sent after it.
@@ -26,7 +26,7 @@
 }
 
 impl Invariant {
-    /// Its name in reports.
+    /// The name printed in reports and JSON.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SingleOutcome => "lost",
@@ -39,37 +39,37 @@
     }
 }
 
-/// A violation of an invariant.
+/// One violation of an invariant, with the message or partner concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that was violated.
     #[serde(rename = "rule")]
     pub invariant: Invariant,
-    /// The message, or the partner where no single message violated the invariant.
+    /// Id of the message, or name of the partner if the violation concerns no single message.
     #[serde(rename = "who")]
     pub subject: String,
     /// Microseconds from the start of the run.
     pub at: u64,
-    /// What was seen.
+    /// What was observed, as a short text.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// What the check of a record found.
+/// Message counts and violations found in a record.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct InvariantReport {
-    /// Messages submitted.
+    /// Messages in the record.
     pub messages: usize,
     /// Messages with a final outcome.
     pub answered: usize,
-    /// ... delivered.
+    /// Messages whose final outcome is delivered.
     pub delivered: usize,
-    /// ... rejected.
+    /// Messages whose final outcome is rejected.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// ... failed.
+    /// Messages whose final outcome is failed.
     pub failed: usize,
-    /// Final outcomes later than their deadline and slack.
+    /// First outcomes that came after the deadline plus the answer slack.
     pub late_answers: usize,
     /// Messages that took effect more than once, though their class forbids it.
     #[serde(rename = "effects_twice")]
@@ -80,15 +80,15 @@
     /// Messages that no gateway accepted before their deadline.
     #[serde(rename = "never_taken")]
     pub never_accepted: usize,
-    /// Requests at partners.
+    /// Requests received by partners.
     pub requests: usize,
-    /// Violations in the order of their times.
+    /// Violations, the earliest first.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
 }
 
 impl InvariantReport {
-    /// Adds a violation at a time in microseconds.
+    /// Adds a violation that occurred `at` microseconds from the start of the run.
     pub(super) fn violation(
         &mut self,
         invariant: Invariant,
--- a/crates/testbench/src/invariants/send_restrictions.rs
+++ b/crates/testbench/src/invariants/send_restrictions.rs
@@ -1,4 +1,4 @@
-//! Nothing is sent to draining endpoints, nor before the end of a `Retry-After`.
+//! Checks that no request is sent to a draining endpoint, nor before a `Retry-After` period ends.
 
 use super::history::{Request, RunHistory, TimedEnd};
 use super::report::{Invariant, InvariantReport};
@@ -13,13 +13,13 @@
     ready: bool,
 }
 
-/// A time during which a partner wants no requests.
+/// The period after a rejection with `Retry-After` in which the gateway must not send to the partner.
 struct RetryAfter {
     from: u64,
     until: u64,
 }
 
-/// Checks every request against drains and `Retry-After`.
+/// Checks every request against the endpoint list and the `Retry-After` periods.
 pub(super) fn check(
     lines: &[RecordLine],
     run: &RunHistory,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Changes of the endpoint list by partner and endpoint.
+/// Changes of the endpoint list by partner and endpoint, the earliest first.
 fn list_changes(lines: &[RecordLine]) -> HashMap<(&str, usize), Vec<ListChange>> {
     let mut changes: HashMap<(&str, usize), Vec<ListChange>> = HashMap::new();
     for line in lines {
@@ -54,11 +54,11 @@
     changes
 }
 
-/// Times of `Retry-After` by gateway and partner.
+/// `Retry-After` periods by gateway and partner.
 fn retry_afters<'a>(run: &'a RunHistory) -> HashMap<(&'a str, &'a str), Vec<RetryAfter>> {
     let mut waits: HashMap<(&str, &str), Vec<RetryAfter>> = HashMap::new();
     for request in run.messages.values().flat_map(|history| &history.requests) {
-        if let Some(TimedEnd { at, how: RequestEnd::Rejected(Some(ms)) }) = request.end {
+        if let Some(TimedEnd { at, end: RequestEnd::Rejected(Some(ms)) }) = request.end {
             let wait = RetryAfter { from: at, until: at + ms * 1000 };
             waits.entry((request.gateway, request.partner)).or_default().push(wait);
         }
@@ -75,8 +75,8 @@
 ) {
     let Some(latest) = changes.iter().rev().find(|change| change.at <= request.at) else { return };
     if !latest.ready && request.at > latest.at + settings.drain_grace + CLOCK_SKEW_US {
-        let what = format!("sent to draining {} e{}", request.partner, request.endpoint);
-        report.violation(Invariant::NoSendToDraining, id, request.at, what);
+        let problem = format!("sent to draining {} e{}", request.partner, request.endpoint);
+        report.violation(Invariant::NoSendToDraining, id, request.at, problem);
     }
 }
 
@@ -89,13 +89,13 @@
 ) {
     let violated = waits
         .iter()
-        // A gateway that was killed since is another one by the same name: it was told nothing.
+        // A gateway that was killed in between runs as a new process that never received the `Retry-After`.
         .filter(|wait| !was_killed_between(run, request.gateway, wait.from, request.at))
         .any(|wait| request.at > wait.from + CLOCK_SKEW_US && request.at + CLOCK_SKEW_US < wait.until);
     if violated {
-        let what =
+        let problem =
             format!("{} sent to {} before the end of its Retry-After", request.gateway, request.partner);
-        report.violation(Invariant::RetryAfterHonoured, id, request.at, what);
+        report.violation(Invariant::RetryAfterHonoured, id, request.at, problem);
     }
 }
 
--- a/crates/testbench/src/invariants/settings.rs
+++ b/crates/testbench/src/invariants/settings.rs
@@ -1,28 +1,28 @@
-//! What the checker needs to know of classes, partners and bounds. Times are in microseconds.
+//! Settings of the invariant check: rules of classes, limits of partners, and bounds. Times are in microseconds.
 
 use crate::repeat_rule::RepeatRule;
 use crate::scenario::{ClassSettings, FaultScenario};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Tolerance at every bound, in microseconds: sockets, threads and a busy machine.
+/// Tolerance at every bound, in microseconds: socket and scheduling delays, also on a busy machine.
 pub const CLOCK_SKEW_US: u64 = 60_000;
 
 const US_PER_MS: u64 = 1000;
 
-/// What a class permits.
+/// The delivery rules of a message class.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// When a message may be sent again.
+    /// When a message that may have run may be sent again.
     pub repeats: RepeatRule,
-    /// Repeats must stay among endpoints of one zone.
+    /// Whether repeated requests must stay within one zone.
     pub same_zone_only: bool,
-    /// Messages of one key are delivered in order.
+    /// Whether messages of one order key must be sent in order.
     pub ordered: bool,
 }
 
 impl ClassRule {
-    /// A repeat has no further effect.
+    /// Whether a repeated request has no further effect.
     pub(super) fn is_safe(&self) -> bool {
         self.repeats == RepeatRule::Always
     }
@@ -42,35 +42,35 @@
     }
 }
 
-/// What a partner survives.
+/// Capacity and zones of a partner.
 #[derive(Clone, Debug)]
 pub struct PartnerRule {
-    /// Requests a second when warmed up.
+    /// Requests per second at full capacity, after the warm-up.
     pub capacity: f64,
-    /// Zone of each endpoint.
+    /// Zone of each endpoint, by endpoint number.
     pub zones: Vec<usize>,
 }
 
-/// Classes, partners and bounds of a run.
+/// Class rules, partner limits and time bounds that a run is checked against.
 #[derive(Clone, Debug)]
 pub struct InvariantSettings {
-    /// Classes by name.
+    /// Rules of the classes, by class name.
     pub classes: HashMap<String, ClassRule>,
-    /// Partners by name.
+    /// Partners, by partner name.
     pub partners: HashMap<String, PartnerRule>,
-    /// A final outcome counts as in time until this long after the deadline.
+    /// An outcome may arrive this long after the deadline.
     pub answer_slack: u64,
-    /// Nothing new may be sent to a draining endpoint this long after the drain was announced.
+    /// New requests to a draining endpoint are tolerated for this long after the drain is announced.
     pub drain_grace: u64,
-    /// Cooldown of a key after an attempt of unknown outcome.
+    /// Least time between an attempt of unknown outcome and the next message of the same order key.
     pub order_settle: u64,
-    /// Share of its capacity with which a partner recovers.
+    /// Share of its full capacity that a partner has at the start of its recovery.
     pub initial_capacity_share: f64,
-    /// The time after which it has all of it.
+    /// Time from the start of the recovery until the partner has its full capacity.
     pub warm_up: u64,
-    /// Sent more than this multiple of its present capacity ...
+    /// A partner collapses if it gets more than this multiple of its current capacity ...
     pub overload_multiple: f64,
-    /// ... over this time, a partner collapses.
+    /// ... within this time.
     pub overload_window: u64,
 }
 
--- a/crates/testbench/src/repeat_rule.rs
+++ b/crates/testbench/src/repeat_rule.rs
@@ -1,20 +1,20 @@
-//! When a message that may have taken effect may be sent again, as its class permits.
+//! Rules of message classes for sending a message again that may already have taken effect.
 
 use std::time::Duration;
 
-/// The contract of a message class on repeats.
+/// Whether and for how long a class permits repeated requests for a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// A repeat has no further effect (safe messages).
+    /// Repeated requests have no further effect (safe messages).
     Always,
-    /// The receiver drops repeats for this long after the first request (keyed messages).
+    /// The receiver drops repeated requests for this long after the first one (keyed messages).
     Within(Duration),
     /// A message that may have run must not be sent again (unsafe messages).
     Forbidden,
 }
 
 impl RepeatRule {
-    /// Whether a repeat is permitted so long after the first request that may have run.
+    /// Whether a repeated request is permitted `since_first` after the first request that may have run.
     #[must_use]
     pub fn permits(self, since_first: Duration) -> bool {
         match self {
--- a/crates/testbench/src/scenario.rs
+++ b/crates/testbench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Fault scenarios over sockets: HCL in; partners, messages and fault events out.
+//! Reads fault scenarios for real gateways from HCL, and derives the test cluster, messages and fault schedule.
 
 mod cluster;
 mod error;
@@ -10,7 +10,7 @@
 pub use faults::{FaultEvent, ScheduledFault};
 pub use settings::{ClassSettings, FaultScenario, FaultSettings, PartnerSettings, RuleSettings};
 
-/// Scenarios that come with the program, by name.
+/// Built-in scenarios: the name and HCL text of each.
 pub const BUILT_IN_SCENARIOS: [(&str, &str); 4] = [
     ("payday", include_str!("../days/payday.hcl")),
     ("quiet", include_str!("../days/quiet.hcl")),
@@ -18,10 +18,11 @@
     ("receipts", include_str!("../days/receipts.hcl")),
 ];
 
-/// Reads a scenario.
+/// Parses a scenario and checks it for consistency.
 ///
 /// # Errors
-/// The text is no HCL, a value is missing or out of its range, or a fault names what does not exist.
+/// The text is not valid HCL, a value is missing or out of range, a fault refers to something unknown, or a keyed class
+/// of group `all` meets a partner with several zones.
 pub fn parse_scenario(text: &str) -> Result<FaultScenario, ScenarioError> {
     let scenario: FaultScenario =
         hcl::from_str(text).map_err(|error| ScenarioError::Invalid(error.to_string()))?;
@@ -35,8 +36,8 @@
         return Err(ScenarioError::Invalid(needed.into()));
     }
     scenario.fault_schedule()?;
-    // The zones of a fake partner do not know each other's keys. A class that says they do would take effect twice as
-    // soon as a message changes its zone, and the invariant checker would blame the gateways.
+    // The zones of a fake partner do not share their deduplication state. With group = "all", a message repeated in
+    // another zone would take effect twice, and the invariant check would report a violation by the gateways.
     let shared = |class: &ClassSettings| class.effect == "keyed" && class.group == "all";
     if scenario.partners.values().any(PartnerSettings::has_several_zones)
         && scenario.classes.values().any(shared)
--- a/crates/testbench/src/scenario/cluster.rs
+++ b/crates/testbench/src/scenario/cluster.rs
@@ -1,4 +1,4 @@
-//! The test cluster that plays a scenario: partners, classes and settings of the gateways.
+//! Derives the test cluster of a scenario: partners, classes and gateway settings.
 
 use super::settings::{ClassSettings, FaultScenario, PartnerSettings, RuleSettings};
 use cloverstile_as2::NewKey;
@@ -7,18 +7,18 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Number of clients: the second one submits the ordered classes.
+/// Number of clients: the first submits messages of unordered classes, the second those of ordered classes.
 const CLIENTS: usize = 2;
-/// Fewest requests that a gateway may have in flight.
+/// Lower bound of the limit on requests that a gateway may have in flight.
 const MIN_CONCURRENCY: usize = 24;
-/// Requests in flight for each message a second: a quarter of a second's traffic.
+/// Seconds of traffic that the gateways may have in flight.
 const CONCURRENCY_SECONDS: f64 = 0.25;
 
 impl FaultScenario {
-    /// The test cluster that plays this scenario.
+    /// The specification of the test cluster on which this scenario runs.
     pub fn cluster_spec(&self) -> ClusterSpec {
-        let most_in_flight = (self.rate * CONCURRENCY_SECONDS / self.gateways as f64).ceil() as usize;
-        let concurrency = most_in_flight.max(MIN_CONCURRENCY);
+        let expected_in_flight = (self.rate * CONCURRENCY_SECONDS / self.gateways as f64).ceil() as usize;
+        let concurrency = expected_in_flight.max(MIN_CONCURRENCY);
         let zones = self.partners.values().flat_map(PartnerSettings::endpoint_zones).max();
         ClusterSpec {
             gateways: self.gateways,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The blocks `rules` and `kind` of a gateway's settings.
+    /// The `rules` block and the `kind` blocks of the gateway settings, as HCL; there is one kind for each batch size.
     fn rule_blocks(&self) -> String {
         let rules = &self.rules;
         let batches: BTreeSet<u32> = self.partners.values().map(|partner| partner.batch).collect();
--- a/crates/testbench/src/scenario/error.rs
+++ b/crates/testbench/src/scenario/error.rs
@@ -1,17 +1,17 @@
-//! Why a scenario can't be played.
+//! Errors in scenario files.
 
-/// Why a scenario can't be played.
+/// An error in a scenario or in a bench day that is converted to one.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not a scenario.
+    /// The text is not a valid scenario.
     #[error("scenario: {0}")]
     Invalid(String),
-    /// A fault names what does not exist.
+    /// A fault has an unknown kind, or refers to a partner or gateway that does not exist.
     #[error("scenario: fault '{fault}': {reason}")]
     InvalidFault {
-        /// Name of the fault.
+        /// Name of the fault in the scenario.
         fault: String,
-        /// What is wrong with it.
+        /// The problem, as the end of a sentence that begins with the fault.
         reason: String,
     },
 }
--- a/crates/testbench/src/scenario/faults.rs
+++ b/crates/testbench/src/scenario/faults.rs
@@ -1,68 +1,68 @@
-//! The faults of a scenario: the typed events that they stand for.
+//! Converts the fault blocks of a scenario to typed events.
 
 use super::error::ScenarioError;
 use super::settings::{FaultScenario, FaultSettings};
 use cloverstile_fakes::model::Fault;
 use cloverstile_fakes::partner::ReceiptFault;
 
-/// What a fault does. Partners are numbered in the order of their names.
+/// The effect of a fault. Partners are numbered in the order of their names.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEvent {
     /// A partner fails, in one zone or in all.
     Partner {
-        /// Number of the partner.
+        /// Number of the affected partner.
         partner: usize,
-        /// How it fails.
+        /// The way in which the partner fails.
         fault: Fault,
-        /// The only zone that fails.
+        /// The zone that fails; `None` for all zones.
         zone: Option<usize>,
     },
     /// A partner sends faulty receipts.
     Receipts {
-        /// Number of the partner.
+        /// Number of the affected partner.
         partner: usize,
-        /// How the receipts are faulty.
+        /// The defect of the receipts.
         fault: ReceiptFault,
     },
-    /// An endpoint drains and comes back.
+    /// An endpoint is listed as draining, and as ready again when the fault ends.
     Drain {
-        /// Number of the partner.
+        /// Number of the affected partner.
         partner: usize,
-        /// Number of the endpoint at the partner.
+        /// Number of the endpoint within the partner.
         endpoint: usize,
     },
-    /// A gateway is killed and started again.
+    /// A gateway process is killed, and started again when the fault ends.
     Kill {
-        /// Number of the gateway.
+        /// Number of the affected gateway.
         gateway: usize,
     },
-    /// A gateway is shut down gracefully and started again.
+    /// A gateway is shut down gracefully, and started again when the fault ends.
     Stop {
-        /// Number of the gateway.
+        /// Number of the affected gateway.
         gateway: usize,
     },
-    /// The traffic is multiplied.
+    /// The message rate is multiplied.
     Burst {
-        /// Factor of the rate.
+        /// Factor by which the rate is multiplied.
         factor: f64,
     },
 }
 
-/// A fault event with its times in seconds.
+/// A fault event with its schedule, in seconds from the start of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// Earliest time at which the fault begins.
     pub at: f64,
-    /// How long it lasts.
+    /// Length of the fault.
     pub duration: f64,
-    /// Seconds by which chance may delay its beginning.
+    /// Upper bound of the random delay that is added to `at`.
     pub jitter: f64,
-    /// What it does.
+    /// The effect of the fault.
     pub event: FaultEvent,
 }
 
 impl FaultScenario {
-    /// The faults as events, in the order of their names.
+    /// The typed events of all faults, in the order of the fault names.
     ///
     /// # Errors
     /// A fault has an unknown kind, or names a partner or gateway that does not exist.
--- a/crates/testbench/src/scenario/settings.rs
+++ b/crates/testbench/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a fault scenario, in the form of its HCL.
+//! The settings of a fault scenario, as written in its HCL file.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,11 +7,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultScenario {
-    /// Number of messages.
+    /// Number of messages that the clients submit.
     pub messages: u32,
-    /// Messages a second on the mean.
+    /// Mean number of messages per second.
     pub rate: f64,
-    /// Number of gateways.
+    /// Number of gateway processes.
     #[serde(rename = "couriers")]
     pub gateways: usize,
     /// Message classes by name.
@@ -20,13 +20,13 @@
     /// Partners by name.
     #[serde(rename = "partner")]
     pub partners: BTreeMap<String, PartnerSettings>,
-    /// Faults by a name for people.
+    /// Faults by name; the name is only a label.
     #[serde(default, rename = "trouble")]
     pub faults: BTreeMap<String, FaultSettings>,
-    /// Figures of the invariants.
+    /// Bounds that the invariants are checked against.
     #[serde(default)]
     pub rules: RuleSettings,
-    /// Threads for cryptography in each gateway.
+    /// Number of cryptography threads in each gateway.
     #[serde(default)]
     pub workers: usize,
     /// Share of the messages whose client drops its connection right after the submission.
@@ -34,26 +34,26 @@
     pub dropped_connection_share: f64,
 }
 
-/// Figures of the invariants, in milliseconds where they are times.
+/// Figures of the invariants, and the warm-up and overload behaviour of partners. Times are in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleSettings {
-    /// A final answer counts as in time until this long after the deadline.
+    /// An outcome may arrive this long after the deadline.
     pub answer_slack_ms: u64,
-    /// Nothing new may be sent to a draining endpoint this long after the drain was announced.
+    /// New requests to a draining endpoint are tolerated for this long after the drain is announced.
     pub drain_grace_ms: u64,
-    /// Cooldown of a key after an attempt of unknown outcome.
+    /// Least time between an attempt of unknown outcome and the next message of the same order key.
     pub order_settle_ms: u64,
-    /// Share of its capacity with which a partner recovers ...
+    /// Share of its full capacity that a partner has at the start of its recovery.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
-    /// ... and the time after which it has all of it.
+    /// Time from the start of the recovery until the partner has its full capacity.
     #[serde(rename = "cold_ms")]
     pub warm_up_ms: u64,
-    /// Sent more than this multiple of its present capacity ...
+    /// A partner collapses if it gets more than this multiple of its current capacity ...
     #[serde(rename = "tip_multiple")]
     pub overload_multiple: f64,
-    /// ... over this time, a partner collapses.
+    /// ... within this time.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
 }
@@ -72,78 +72,78 @@
     }
 }
 
-/// A class of messages. Times are in seconds.
+/// A message class. Times are in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
-    /// Share of the messages.
+    /// Weight with which messages are drawn from this class.
     pub share: f64,
-    /// `safe`, `keyed` or `unsafe`.
+    /// Effect of a repeated request: `safe`, `keyed` or `unsafe`.
     pub effect: String,
-    /// Where repeats are dropped: `all` or `zone`.
+    /// Scope in which a partner drops repeated requests: `all` its endpoints together, or each `zone` separately.
     #[serde(default = "default_group")]
     pub group: String,
-    /// Messages of one key are delivered in order.
+    /// Whether messages of one order key are delivered in order.
     #[serde(default, rename = "in_order")]
     pub ordered: bool,
-    /// Number of keys, for ordered classes.
+    /// Number of distinct order keys, for ordered classes.
     #[serde(default = "default_keys")]
     pub keys: u32,
-    /// Delivery is wanted within this time.
+    /// Target time from submission to delivery.
     #[serde(rename = "aim")]
     pub latency_objective: f64,
-    /// The message expires after this time.
+    /// Time from submission until the message expires.
     pub deadline: f64,
-    /// Repeats are dropped for this long.
+    /// Time after the first request during which a keyed message may be sent again.
     #[serde(default, rename = "window")]
     pub retry_window: f64,
-    /// Value of a message that is delivered in time.
+    /// Weight of a message that is delivered in time, relative to other classes.
     #[serde(default = "one", rename = "worth")]
     pub priority_weight: f64,
 }
 
-/// A partner.
+/// A partner and the behaviour of its fake servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartnerSettings {
-    /// Share of the messages.
+    /// Weight with which messages are drawn for this partner.
     pub share: f64,
-    /// Number of endpoints.
+    /// Number of endpoints, if `zones` is empty.
     #[serde(default = "default_endpoints")]
     pub endpoints: usize,
-    /// Requests served at once.
+    /// Number of requests served concurrently.
     pub servers: usize,
-    /// Requests that may wait.
+    /// Number of requests that may wait for a server.
     #[serde(default = "default_queue")]
     pub queue: usize,
-    /// Least time of a request and the mean of what chance adds, in milliseconds.
+    /// Minimum service time and mean of the random extra time, in milliseconds.
     #[serde(default = "default_service_ms")]
     pub service_ms: [u64; 2],
-    /// Requests a second from all gateways together.
+    /// Rate limit in requests per second, shared by all gateways.
     #[serde(default)]
     pub limit: Option<f64>,
-    /// Rejections carry `Retry-After`.
+    /// Whether rejections carry `Retry-After`.
     #[serde(default, rename = "tells_wait")]
     pub sends_retry_after: bool,
-    /// Has an RSA key, so that content is encrypted for it.
+    /// Whether the partner has an RSA key, so that content is encrypted for it.
     #[serde(default)]
     pub encrypted: bool,
-    /// Sends its receipts on connections of their own.
+    /// Whether the partner sends its receipts asynchronously, on separate connections.
     #[serde(default)]
     pub deferred: bool,
-    /// The gateways hold another certificate than its own.
+    /// Whether the gateways are configured with a certificate that is not the partner's own.
     #[serde(default, rename = "mismatched")]
     pub certificate_mismatch: bool,
-    /// Zone of each endpoint; all in the first one where left out. Each zone drops repeats by itself.
+    /// Zone of each endpoint; all are in zone 0 if empty. Each zone drops repeated requests independently.
     #[serde(default)]
     pub zones: Vec<usize>,
-    /// Its zones are failover tiers in their order, and this share spills to the next where one is lost.
+    /// If set, the zones are failover tiers in order, and this share spills to the next tier when one is lost.
     #[serde(default)]
     pub spill_share: Option<f64>,
-    /// It drops repeats for this long, in seconds; longer than any class's window.
+    /// Time for which the partner drops repeated requests, in seconds; should exceed the retry window of every class.
     #[serde(default = "default_deduplication_s", rename = "repeats_s")]
     pub deduplication_s: f64,
-    /// Messages in one request.
+    /// Batch size: number of messages in one request.
     #[serde(default = "default_batch")]
     pub batch: u32,
 }
@@ -181,7 +181,7 @@
 }
 
 impl PartnerSettings {
-    /// Zone of each endpoint.
+    /// The zone of each endpoint, with the default applied.
     pub fn endpoint_zones(&self) -> Vec<usize> {
         if self.zones.is_empty() {
             vec![0; self.endpoints]
@@ -190,41 +190,41 @@
         }
     }
 
-    /// Whether its endpoints are not all in one zone.
+    /// Whether the endpoints are in more than one zone.
     pub(super) fn has_several_zones(&self) -> bool {
         let zones = self.endpoint_zones();
         zones.iter().any(|zone| *zone != zones[0])
     }
 }
 
-/// A fault, as a scenario states it. Times are in seconds.
+/// A fault block of a scenario. Times are in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSettings {
-    /// When it begins; moved by chance within `jitter`.
+    /// Time at which the fault begins, before the random delay of up to `jitter`.
     pub at: f64,
-    /// How long it lasts.
+    /// Length of the fault.
     #[serde(default = "one", rename = "lasts")]
     pub duration: f64,
-    /// Seconds by which chance may delay its beginning.
+    /// Upper bound of the random delay that is added to `at`.
     #[serde(default, rename = "sway")]
     pub jitter: f64,
-    /// Affected partner.
+    /// Name of the affected partner.
     #[serde(default)]
     pub partner: Option<String>,
-    /// Affected zone of the partner; all of them where left out.
+    /// Affected zone of the partner; all zones if not set.
     #[serde(default)]
     pub zone: Option<usize>,
-    /// Endpoint of the partner, for drains.
+    /// Number of the endpoint that drains, for faults of kind `drain`.
     #[serde(default)]
     pub endpoint: usize,
-    /// Affected gateway.
+    /// Number of the affected gateway.
     #[serde(default, rename = "courier")]
     pub gateway: Option<usize>,
     /// `silent`, `lose-answers`, `refuse`, `reset`, `late`, `errors`, `shut`, `slow`, `reap`, `frail`, `wrong-mic`,
     /// `wrong-signer`, `twice`, `late-receipts`, `drain`, `kill`, `stop` or `burst`.
     pub kind: String,
-    /// How much: a share, a factor, or seconds.
+    /// Severity of the fault: a share, a factor or a number of seconds, depending on the kind.
     #[serde(default = "one")]
     pub size: f64,
 }
--- a/crates/testbench/src/scenario/traffic.rs
+++ b/crates/testbench/src/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! The messages of a scenario, drawn by chance.
+//! Generates the random messages of a scenario.
 
 use super::faults::{FaultEvent, ScheduledFault};
 use super::settings::FaultScenario;
@@ -9,17 +9,18 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Bytes of a message's content.
+/// Range of the content length of a message, in bytes.
 const CONTENT_LENGTH: Range<usize> = 40..400;
 
-/// Traffic is multiplied between two times, in seconds.
+/// A period, in seconds from the start of the traffic, in which the message rate is multiplied.
 struct Burst {
     period: Range<f64>,
     factor: f64,
 }
 
 impl FaultScenario {
-    /// The messages of each client, from `start` on: those of ordered classes come from the second one.
+    /// Generates the messages of each client with Poisson arrivals from `start` on. The second client submits those of
+    /// ordered classes.
     pub fn plan_messages(
         &self,
         rng: &mut ChaCha8Rng,
@@ -33,8 +34,12 @@
             let burst = bursts.iter().find(|burst| burst.period.contains(&at));
             let gap: f64 = -(1.0 - rng.random::<f64>()).max(1e-9).ln();
             at += gap / (self.rate * burst.map_or(1.0, |burst| burst.factor));
-            let Some((class_name, class)) = draw(rng, &self.classes, |class| class.share) else { continue };
-            let Some((partner, _)) = draw(rng, &self.partners, |partner| partner.share) else { continue };
+            let Some((class_name, class)) = draw_by_share(rng, &self.classes, |class| class.share) else {
+                continue;
+            };
+            let Some((partner, _)) = draw_by_share(rng, &self.partners, |partner| partner.share) else {
+                continue;
+            };
             let key = class.ordered.then(|| format!("employee-{}", rng.random_range(0..class.keys.max(1))));
             let client = usize::from(class.ordered);
             let length = rng.random_range(CONTENT_LENGTH);
@@ -42,7 +47,7 @@
                 submit_at: start + Duration::from_secs_f64(at),
                 id: format!("m{number}.{seed}@client-{client}"),
                 class: class_name.clone(),
-                // What concerns one employee goes to one partner: its system.
+                // All messages of one order key (an employee) go to the same partner.
                 partner: key.as_ref().map_or(partner.clone(), |key| self.partner_of_key(key)),
                 key,
                 deadline: Duration::from_secs_f64(class.deadline),
@@ -70,17 +75,17 @@
     }
 }
 
-/// Draws one of some named things by their shares.
-fn draw<'a, T>(
+/// Draws one of the named items with a probability proportional to its share.
+fn draw_by_share<'a, T>(
     rng: &mut ChaCha8Rng,
-    things: &'a BTreeMap<String, T>,
+    items: &'a BTreeMap<String, T>,
     share: impl Fn(&T) -> f64,
 ) -> Option<(&'a String, &'a T)> {
-    let sum: f64 = things.values().map(&share).sum();
+    let sum: f64 = items.values().map(&share).sum();
     let mut remaining = rng.random::<f64>() * sum;
-    let last = things.iter().next_back();
-    let found = things.iter().find(|(_, thing)| {
-        remaining -= share(thing);
+    let last = items.iter().next_back();
+    let found = items.iter().find(|(_, item)| {
+        remaining -= share(item);
         remaining < 0.0
     });
     found.or(last)
--- a/crates/testbench/src/scenario_run.rs
+++ b/crates/testbench/src/scenario_run.rs
@@ -1,4 +1,5 @@
-//! Plays a fault scenario: gateway processes, fake partners and clients on loopback, fault events by the clock.
+//! Runs a fault scenario with gateway processes, fake partners and clients on loopback, and applies its faults at their
+//! scheduled times.
 
 mod error;
 mod gateway_command;
@@ -19,34 +20,34 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// The first message comes this long after everything is started.
+/// Delay between the start of the gateways and the first message.
 const LEAD_TIME: Duration = Duration::from_millis(200);
-/// Fault events, processes and clients are looked at in this interval.
+/// Interval at which due fault events, processes and clients are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Told to stop, each gateway is waited for this long.
+/// Time to wait for each gateway to exit at the end of the run.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients are stopped after this multiple of the scenario's mean length ...
+/// Clients are stopped after this multiple of the expected length of the traffic ...
 const TIME_LIMIT_FACTOR: f64 = 1.5;
-/// ... and the longest deadline and this many seconds.
+/// ... plus the longest deadline and this many seconds.
 const TIME_LIMIT_SLACK_S: f64 = 10.0;
 
-/// What came of a scenario.
+/// The record of a scenario run and the result of its check.
 pub struct RunResult {
-    /// The record of fake partners and clients.
+    /// The events recorded by the fake partners and clients.
     pub lines: Vec<RecordLine>,
-    /// What the check of the invariants found.
+    /// The result of the invariant check.
     pub report: InvariantReport,
-    /// Wall time.
+    /// Wall-clock time of the whole run, with set-up and shutdown.
     pub elapsed: Duration,
 }
 
-/// Called now and then with the number of answered messages, for people who wait.
+/// Called regularly with the number of answered messages, to show progress.
 pub type ProgressCallback<'a> = &'a (dyn Fn(usize) + Sync);
 
-/// Plays a scenario in a folder of its own, and checks its record.
+/// Runs a scenario with its files in `folder`, and checks its record against the invariants.
 ///
 /// # Errors
-/// The test cluster can't be set up, a gateway does not start or exits by itself, or a client fails.
+/// The test cluster can't be set up, a gateway does not start or exits unexpectedly, or a client fails.
 pub fn run_scenario(
     scenario: &FaultScenario,
     seed: u64,
@@ -62,21 +63,23 @@
     let start = recorder.now() + LEAD_TIME;
     let plans = scenario.plan_messages(&mut rng, seed, start);
     let mut steps = fault_steps(scenario, &mut rng, start)?;
-    // The earliest step is taken from the back.
+    // The earliest step comes last, so that it can be popped.
     steps.reverse();
-    let longest = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
-    let mean_length = f64::from(scenario.messages) / scenario.rate;
-    let time_limit =
-        start + Duration::from_secs_f64(mean_length * TIME_LIMIT_FACTOR + longest + TIME_LIMIT_SLACK_S);
+    let longest_deadline = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
+    let expected_length = f64::from(scenario.messages) / scenario.rate;
+    let time_limit = start
+        + Duration::from_secs_f64(
+            expected_length * TIME_LIMIT_FACTOR + longest_deadline + TIME_LIMIT_SLACK_S,
+        );
     let run = ScenarioRun { steps, time_limit, recorder: recorder.clone(), on_progress };
-    run.play(&mut gateways, plans)?;
+    run.run(&mut gateways, plans)?;
     gateways.shut_down(SHUTDOWN_TIMEOUT);
     let lines = recorder.lines();
     let report = check_invariants(&lines, &InvariantSettings::from(scenario));
     Ok(RunResult { lines, report, elapsed: began.elapsed() })
 }
 
-/// The beginning or the end of a fault.
+/// The scheduled beginning or end of a fault.
 struct FaultStep {
     at: Duration,
     begins: bool,
@@ -84,7 +87,7 @@
     event: FaultEvent,
 }
 
-/// The steps of all faults, the earliest first.
+/// The beginnings and ends of all faults with their random delays, the earliest first.
 fn fault_steps(
     scenario: &FaultScenario,
     rng: &mut ChaCha8Rng,
@@ -104,16 +107,16 @@
 }
 
 struct ScenarioRun<'a> {
-    /// Steps that are still to be taken, the earliest last.
+    /// Remaining steps, the earliest last.
     steps: Vec<FaultStep>,
-    /// When the clients are stopped.
+    /// Time at which the clients are stopped even if messages are unanswered.
     time_limit: Duration,
     recorder: Recorder,
     on_progress: ProgressCallback<'a>,
 }
 
 impl ScenarioRun<'_> {
-    fn play(
+    fn run(
         mut self,
         gateways: &mut ScenarioGateways,
         plans: [Vec<PlannedMessage>; 2],
@@ -127,17 +130,17 @@
                 let (addresses, progress, recorder) = (&addresses, &progress, recorder.clone());
                 let identity = &identities[number];
                 clients.push(scope.spawn(move || {
-                    let habits =
+                    let behaviour =
                         ClientBehaviour { deferred_receipts: number == 1, ..ClientBehaviour::default() };
-                    Client::new(identity, habits, addresses, plan, recorder, progress)?.run()
+                    Client::new(identity, behaviour, addresses, plan, recorder, progress)?.run()
                 }));
             }
             while clients.iter().any(|client| !client.is_finished()) {
-                if let Err(error) = self.advance(gateways, &addresses) {
+                if let Err(error) = self.apply_due_steps(gateways, &addresses) {
                     progress.stop.store(true, Ordering::Relaxed);
                     return Err(error);
                 }
-                // A client that never ends must not keep the check from saying what was not answered.
+                // Stops clients that would wait forever, so that the check can report the unanswered messages.
                 if self.recorder.now() > self.time_limit {
                     progress.stop.store(true, Ordering::Relaxed);
                 }
@@ -151,22 +154,30 @@
         })
     }
 
-    /// Takes the steps that are due, and looks after the gateway processes.
-    fn advance(&mut self, gateways: &mut ScenarioGateways, clients: &GatewaySet) -> Result<(), RunError> {
+    /// Applies the steps that are due, records gateways that have stopped, and fails if one exited unexpectedly.
+    fn apply_due_steps(
+        &mut self,
+        gateways: &mut ScenarioGateways,
+        clients: &GatewaySet,
+    ) -> Result<(), RunError> {
         while self.steps.last().is_some_and(|step| step.at <= self.recorder.now()) {
             if let Some(step) = self.steps.pop() {
-                apply(&step, gateways, clients)?;
+                apply_step(&step, gateways, clients)?;
             }
         }
         gateways.record_stopped(clients);
-        match gateways.find_exited() {
+        match gateways.find_unexpected_exit() {
             Some(gateway) => Err(RunError::GatewayExited(gateway)),
             None => Ok(()),
         }
     }
 }
 
-fn apply(step: &FaultStep, gateways: &mut ScenarioGateways, clients: &GatewaySet) -> Result<(), RunError> {
+fn apply_step(
+    step: &FaultStep,
+    gateways: &mut ScenarioGateways,
+    clients: &GatewaySet,
+) -> Result<(), RunError> {
     match (step.event, step.begins) {
         (FaultEvent::Partner { partner, fault, zone }, true) => {
             gateways.begin_partner_fault(partner, fault, zone, step.duration);
--- a/crates/testbench/src/scenario_run/error.rs
+++ b/crates/testbench/src/scenario_run/error.rs
@@ -1,9 +1,9 @@
-//! Why a scenario could not be played.
+//! Errors that abort a scenario run.
 
 use crate::scenario::ScenarioError;
 use cloverstile_as2_gateway::test_cluster::TestClusterError;
 
-/// Why a scenario could not be played.
+/// An error that aborts a scenario run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The scenario is invalid.
@@ -12,7 +12,7 @@
     /// Keys, files or fake partners of the test cluster could not be set up.
     #[error(transparent)]
     Cluster(#[from] TestClusterError),
-    /// A gateway exited without having been told to.
+    /// The gateway of this number exited although it was not told to stop.
     #[error("run: gateway {0} exited by itself; its standard error says why")]
     GatewayExited(usize),
     /// A process or socket operation failed.
--- a/crates/testbench/src/scenario_run/gateway_command.rs
+++ b/crates/testbench/src/scenario_run/gateway_command.rs
@@ -1,4 +1,4 @@
-//! How AS2 gateway processes are started.
+//! Starts AS2 gateway processes.
 
 use super::error::RunError;
 use crate::process::GatewayProcess;
@@ -8,25 +8,25 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The command that starts a gateway.
+/// The command line that starts a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewayCommand {
-    /// Program that takes `as2-gateway FILE` and prints where it listens.
+    /// Program that accepts `as2-gateway FILE` and prints its listening address as a line of JSON.
     pub program: PathBuf,
-    /// Filter of what the gateways log on standard error.
+    /// Log filter of the gateways, which log to standard error.
     pub log: String,
 }
 
-/// A gateway that listens.
+/// A gateway process that is ready for connections.
 pub(crate) struct StartedGateway {
-    /// Its process.
+    /// The running process.
     pub(crate) process: GatewayProcess,
-    /// Where it listens.
+    /// The address on which the gateway listens.
     pub(crate) address: SocketAddr,
 }
 
 impl GatewayCommand {
-    /// Starts a gateway on its settings file and waits until it listens.
+    /// Starts gateway `number` with a settings file and waits until it prints its listening address.
     pub(crate) fn start(&self, file: &Path, number: usize) -> Result<StartedGateway, RunError> {
         let mut command = Command::new(&self.program);
         command
@@ -40,13 +40,13 @@
         if let Some(stdout) = process.take_stdout() {
             BufReader::new(stdout).read_line(&mut line)?;
         }
-        let address = read_announcement(&line).ok_or(RunError::Cluster(TestClusterError::Start(number)))?;
+        let address = parse_announcement(&line).ok_or(RunError::Cluster(TestClusterError::Start(number)))?;
         Ok(StartedGateway { process, address })
     }
 }
 
-/// The address in the line of JSON that a gateway prints once it listens.
-fn read_announcement(line: &str) -> Option<SocketAddr> {
+/// Parses the address from the line of JSON that a gateway prints once it listens.
+fn parse_announcement(line: &str) -> Option<SocketAddr> {
     let announcement: serde_json::Value = serde_json::from_str(line).ok()?;
     announcement.get("listening")?.as_str()?.parse().ok()
 }
--- a/crates/testbench/src/scenario_run/gateways.rs
+++ b/crates/testbench/src/scenario_run/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a scenario and the test cluster around them.
+//! Manages the gateway processes of a scenario and their test cluster.
 
 use super::error::RunError;
 use super::gateway_command::{GatewayCommand, StartedGateway};
@@ -16,27 +16,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A gateway that was told to stop and still answers what it holds.
+/// A gateway that is shutting down gracefully and still answers the messages it holds.
 struct StoppingGateway {
     gateway: usize,
     process: GatewayProcess,
 }
 
-/// Processes of all gateways, their partners, and which endpoints drain.
+/// The gateway processes, the test cluster with the fake partners, and the set of draining endpoints.
 pub(super) struct ScenarioGateways<'a> {
     cluster: TestCluster,
     command: &'a GatewayCommand,
-    /// The process of each gateway while it runs.
+    /// The process of each gateway; `None` while it is stopped or shutting down.
     processes: Vec<Option<GatewayProcess>>,
     stopping: Vec<StoppingGateway>,
     addresses: Vec<SocketAddr>,
-    /// Partner and endpoint.
+    /// Partner number and endpoint number of each draining endpoint.
     draining: BTreeSet<(usize, usize)>,
     recorder: Recorder,
 }
 
 impl<'a> ScenarioGateways<'a> {
-    /// Starts so many gateways of a cluster.
+    /// Starts the first `count` gateways of a cluster.
     pub fn start(
         cluster: TestCluster,
         command: &'a GatewayCommand,
@@ -57,33 +57,33 @@
                 command.start(&gateways.cluster.settings_files[number], number)?;
             gateways.processes.push(Some(process));
             gateways.addresses.push(address);
-            // One that is started again must be found where it was.
+            // A restarted gateway must listen on the same address.
             gateways.cluster.write_settings(number, address, &BTreeSet::new())?;
         }
         Ok(gateways)
     }
 
-    /// Addresses and states of the gateways, as the clients see them.
+    /// The addresses and running states of the gateways, as known to the clients.
     pub fn client_view(&self) -> GatewaySet {
         self.cluster.gateway_set(self.addresses.clone())
     }
 
-    /// Identities of the clients.
+    /// The AS2 identities of the clients, by client number.
     pub fn client_identities(&self) -> Arc<Vec<Identity>> {
         self.cluster.clients.clone()
     }
 
-    /// Lets a partner fail for a time, in one zone or in all.
+    /// Makes a partner fail for `duration`, in one zone or in all.
     pub fn begin_partner_fault(&self, partner: usize, fault: Fault, zone: Option<usize>, duration: Duration) {
         self.cluster.partners.send(PartnerCommand::Fault { partner, fault, group: zone, duration });
     }
 
-    /// Lets a partner's receipts be faulty from now on, or sound again.
+    /// Makes the receipts of a partner faulty, or correct again with `None`.
     pub fn set_receipt_fault(&self, partner: usize, fault: Option<ReceiptFault>) {
         self.cluster.partners.send(PartnerCommand::SetReceiptFault { partner, fault });
     }
 
-    /// Drains an endpoint or takes it back, and lets all gateways read their settings again.
+    /// Marks an endpoint as draining or ready, and makes all gateways reload their settings.
     pub fn set_draining(&mut self, partner: usize, endpoint: usize, draining: bool) -> Result<(), RunError> {
         if draining {
             self.draining.insert((partner, endpoint));
@@ -94,7 +94,7 @@
             self.cluster.write_settings(number, *address, &self.draining)?;
         }
         if !draining {
-            // Whoever hears of it first may send at once.
+            // Recorded before the reload: the first gateway to reload may send at once.
             self.record_listed(partner, endpoint, true);
         }
         for process in self.processes.iter().flatten() {
@@ -111,16 +111,16 @@
         self.recorder.record(ObservedEvent::EndpointListed { partner, endpoint, ready });
     }
 
-    /// Kills a gateway.
+    /// Kills a gateway process, after telling the clients that it does not run.
     pub fn kill(&mut self, gateway: usize, clients: &GatewaySet) {
         if let Some(process) = self.processes[gateway].take() {
-            // Clients learn first, so that a lost connection is not taken for a transient failure.
+            // Clients are told first, so that they do not take the lost connection for a transient failure.
             self.record_end(gateway, true, clients);
             drop(process);
         }
     }
 
-    /// Tells a gateway to stop. It answers what it holds; until it has exited, clients take it for running.
+    /// Starts the graceful shutdown of a gateway. Clients see it as running until it has answered its messages and exited.
     pub fn stop(&mut self, gateway: usize) {
         if let Some(process) = self.processes[gateway].take() {
             process.signal(Signal::TERM);
@@ -133,7 +133,7 @@
         self.recorder.record(ObservedEvent::GatewayProcess { gateway, running: false, killed });
     }
 
-    /// Records the gateways that were told to stop and have exited.
+    /// Records the end of each gateway that was told to stop and has exited.
     pub fn record_stopped(&mut self, clients: &GatewaySet) {
         for StoppingGateway { gateway, mut process } in std::mem::take(&mut self.stopping) {
             if process.has_exited() {
@@ -144,14 +144,14 @@
         }
     }
 
-    /// The first gateway that exited without having been told to.
-    pub fn find_exited(&mut self) -> Option<usize> {
+    /// The first gateway that exited without being told to stop.
+    pub fn find_unexpected_exit(&mut self) -> Option<usize> {
         let exited =
             |process: &mut Option<GatewayProcess>| process.as_mut().is_some_and(GatewayProcess::has_exited);
         self.processes.iter_mut().position(exited)
     }
 
-    /// Starts a gateway again that was killed or stopped.
+    /// Restarts a gateway that was killed or stopped.
     pub fn restart(&mut self, gateway: usize, clients: &GatewaySet) -> Result<(), RunError> {
         let started = self.command.start(&self.cluster.settings_files[gateway], gateway)?;
         self.processes[gateway] = Some(started.process);
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Tells all gateways to stop and waits for each up to `timeout`.
+    /// Shuts down all gateways gracefully and waits up to `timeout` for each.
     pub fn shut_down(&mut self, timeout: Duration) {
         for process in self.processes.iter().flatten() {
             process.signal(Signal::TERM);
