--- a/crates/testbench/src/fleet.rs
+++ b/crates/testbench/src/fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet of real gateway processes on loopback.
+//! Runs a load balance scenario with a fleet of real gateway processes on loopback.
 //!
-//! A scenario of even load is played by hundreds of `cloverstile node` processes against endpoints, service discovery
-//! and clients that one thread of the testbench serves. What passed on those sockets is the record, and the invariants
-//! are checked from it alone.
+//! Hundreds of `cloverstile node` processes exchange messages with fake endpoints, fake service discovery and clients,
+//! all of which run in a single thread of the testbench. The load record and the invariant checks use only the traffic
+//! observed on these sockets, never the state of a gateway.
 
 mod clients;
 mod discovery;
--- a/crates/testbench/src/fleet/clients.rs
+++ b/crates/testbench/src/fleet/clients.rs
@@ -1,24 +1,24 @@
-//! Connections of the clients that submit messages to the gateways.
+//! Pool of the client connections on which messages are submitted to the gateways.
 
 use cloverstile_net::ConnId;
 use std::collections::HashMap;
 
-/// What a gateway replied to a submission.
+/// The reply of a gateway to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SubmissionReply {
-    /// It holds the message.
+    /// The gateway has accepted the message and is responsible for it.
     Accepted,
-    /// It is overloaded and did not take the message.
+    /// The gateway is overloaded and has not accepted the message (`-BUSY`).
     Busy,
-    /// Any other error.
+    /// Any other error reply.
     Failed,
 }
 
-/// A submission whose connection closed before a reply.
+/// A submission whose connection failed or closed before the reply.
 pub(super) struct UnansweredSubmission {
-    /// Number of the message.
+    /// Index of the message in the invariant tracker.
     pub message: usize,
-    /// Whether the connection had been established, so that the gateway may have the message.
+    /// Whether the connection had been established. If so, the gateway may have accepted the message.
     pub was_connected: bool,
 }
 
@@ -26,29 +26,29 @@
     gateway: usize,
     connected: bool,
     received: Vec<u8>,
-    /// The message whose reply is awaited.
+    /// The submitted message that has no reply yet.
     message: Option<usize>,
 }
 
-/// All client connections; each carries one submission at a time.
+/// All client connections. Each carries at most one submission at a time.
 pub(super) struct ClientConnections {
     connections: HashMap<ConnId, ClientConnection>,
-    /// Idle connections by gateway.
+    /// Idle connections, by index of the gateway. The one used last is reused first.
     idle: Vec<Vec<ConnId>>,
 }
 
 impl ClientConnections {
-    /// No connections yet to so many gateways.
+    /// Creates an empty pool for this number of gateways.
     pub fn new(gateways: usize) -> ClientConnections {
         ClientConnections { connections: HashMap::new(), idle: vec![Vec::new(); gateways] }
     }
 
-    /// Whether a connection is a client's.
+    /// Whether the connection belongs to a client rather than to an HTTP server.
     pub fn contains(&self, connection: ConnId) -> bool {
         self.connections.contains_key(&connection)
     }
 
-    /// Takes an idle connection to a gateway for a message.
+    /// Assigns an idle connection to a message; `None` if the gateway has no idle connection.
     pub fn reuse_idle(&mut self, gateway: usize, message: usize) -> Option<ConnId> {
         let connection = self.idle[gateway].pop()?;
         if let Some(client) = self.connections.get_mut(&connection) {
@@ -57,21 +57,22 @@
         Some(connection)
     }
 
-    /// Notes a connection that is being established for a message.
+    /// Registers a connection that is being established for a message.
     pub fn on_connecting(&mut self, connection: ConnId, gateway: usize, message: usize) {
         let client =
             ClientConnection { gateway, connected: false, received: Vec::new(), message: Some(message) };
         self.connections.insert(connection, client);
     }
 
-    /// The connection is established; returns the message to send on it.
+    /// Marks a connection as established and returns the message to send on it.
     pub fn on_connected(&mut self, connection: ConnId) -> Option<usize> {
         let client = self.connections.get_mut(&connection)?;
         client.connected = true;
         client.message
     }
 
-    /// Takes received bytes; returns the message and its reply once a whole line is there.
+    /// Appends received bytes. Once a line is complete, returns the message and its reply and marks the connection
+    /// idle.
     pub fn on_bytes(&mut self, connection: ConnId, bytes: &[u8]) -> Option<(usize, SubmissionReply)> {
         let client = self.connections.get_mut(&connection)?;
         client.received.extend_from_slice(bytes);
@@ -89,7 +90,7 @@
         message.map(|message| (message, reply))
     }
 
-    /// Removes a closed connection; returns the submission that had no reply on it.
+    /// Removes a closed connection and returns its unanswered submission, if any.
     pub fn on_closed(&mut self, connection: ConnId) -> Option<UnansweredSubmission> {
         let client = self.connections.remove(&connection)?;
         self.idle[client.gateway].retain(|idle| *idle != connection);
--- a/crates/testbench/src/fleet/discovery.rs
+++ b/crates/testbench/src/fleet/discovery.rs
@@ -1,52 +1,55 @@
-//! Requests that gateways make of service discovery: watches of the endpoint list and final outcomes.
+//! Requests of gateways to service discovery: watches (long polls) of the endpoint list, and reports of final outcomes.
 
 use super::invariants::FinalOutcome;
 use cloverstile_net::ConnId;
 use std::collections::HashMap;
 
-/// Watches of the endpoint list that wait for a response, at most one on each connection.
+/// Watches of the endpoint list that have no response yet, at most one per connection.
 #[derive(Default)]
 pub(super) struct Watches {
-    waiting: HashMap<ConnId, u64>,
-    opened: u64,
+    /// Number of the open watch, by connection.
+    open: HashMap<ConnId, u64>,
+    /// Number of the last watch opened. Numbers let a timer detect that its watch was answered or replaced.
+    last_number: u64,
 }
 
 impl Watches {
-    /// Notes a new watch and returns its number; it replaces an earlier one of the connection.
+    /// Opens a watch and returns its number. It replaces an open watch of the same connection.
     pub fn open(&mut self, connection: ConnId) -> u64 {
-        self.opened += 1;
-        self.waiting.insert(connection, self.opened);
-        self.opened
+        self.last_number += 1;
+        self.open.insert(connection, self.last_number);
+        self.last_number
     }
 
-    /// Ends a watch; false if it has been answered or replaced.
+    /// Closes a watch. Returns false if it was already answered or replaced.
     pub fn complete(&mut self, connection: ConnId, watch: u64) -> bool {
-        let waits = self.waiting.get(&connection) == Some(&watch);
-        if waits {
-            self.waiting.remove(&connection);
+        let is_open = self.open.get(&connection) == Some(&watch);
+        if is_open {
+            self.open.remove(&connection);
         }
-        waits
+        is_open
     }
 
-    /// Drops the watch of a closed connection.
+    /// Discards the watch of a closed connection, if any.
     pub fn on_closed(&mut self, connection: ConnId) {
-        self.waiting.remove(&connection);
+        self.open.remove(&connection);
     }
 
-    /// All watches that wait: connection and number.
-    pub fn waiting(&self) -> Vec<(ConnId, u64)> {
-        self.waiting.iter().map(|(connection, watch)| (*connection, *watch)).collect()
+    /// Connection and number of each open watch, in no particular order.
+    pub fn open_watches(&self) -> Vec<(ConnId, u64)> {
+        self.open.iter().map(|(connection, watch)| (*connection, *watch)).collect()
     }
 }
 
-/// Reads the final outcomes that a gateway reports, one JSON object a line: message number and outcome.
-pub(super) fn read_final_outcomes(body: &[u8]) -> Vec<(usize, FinalOutcome)> {
+/// Parses a gateway's report of undelivered messages: one JSON object per line, with the message index in hexadecimal
+/// as `id`. The status `deferred` is a rejection, any other a failure. Lines without a valid `id` are skipped.
+pub(super) fn parse_final_outcomes(body: &[u8]) -> Vec<(usize, FinalOutcome)> {
     let text = String::from_utf8_lossy(body);
-    let outcome = |line: &str| {
+    let parse_line = |line: &str| {
         let notice: serde_json::Value = serde_json::from_str(line).unwrap_or_default();
         let message = usize::from_str_radix(notice["id"].as_str()?, 16).ok()?;
         let rejected = notice["status"] == "deferred";
         Some((message, if rejected { FinalOutcome::Rejected } else { FinalOutcome::Failed }))
     };
-    text.lines().filter_map(outcome).collect()
+    text.lines().filter_map(parse_line).collect()
 }
--- a/crates/testbench/src/fleet/endpoint_list/tests.rs
+++ b/crates/testbench/src/fleet/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Query strings of discovery requests.
+//! Parsing of the query strings of discovery requests.
 
 use super::query_number;
 
--- a/crates/testbench/src/fleet/endpoint_requests.rs
+++ b/crates/testbench/src/fleet/endpoint_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of gateways at the fake endpoints, from their arrival to the response.
+//! Handling of gateway requests at the fake endpoints, from arrival to response.
 
 use super::endpoints::{encode_response, EndpointRequest};
 use super::faults::SLOW_PATH_DELAY;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl HarnessState<'_> {
-    /// A whole request has reached an endpoint.
+    /// Handles a complete request: tracks and records it, and responds now or schedules the response.
     pub(super) fn on_endpoint_request(
         &mut self,
         now: Duration,
@@ -21,40 +21,40 @@
         http: &Message,
     ) {
         let id = http.headers.get("req-id").and_then(|id| usize::from_str_radix(id, 16).ok());
-        let tracked = id.and_then(|id| self.tracker.message(id).map(|message| (id, message.gateway)));
-        let Some((message, gateway)) = tracked else {
-            // A message that no client submitted.
-            self.tracker.audit().repeated_effects += 1;
+        let tracked_message = id.and_then(|id| self.tracker.message(id).map(|message| (id, message.gateway)));
+        let Some((message, gateway)) = tracked_message else {
+            // No client submitted this message, so the request counts as a repeated effect.
+            self.tracker.violations_mut().repeated_effects += 1;
             return self.net.close(connection);
         };
-        let partner = self.sites.endpoints[endpoint].partner;
+        let partner = self.model.endpoints[endpoint].partner;
         self.tracker.on_request(now, message, endpoint, self.has_own_limit(endpoint));
-        let reached = self.sites.handle_request(now, endpoint, &message.to_string());
-        let (reply, respond_at) = (reached.decision.reply, reached.decision.respond_at);
+        let response = self.model.handle_request(now, endpoint, &message.to_string());
+        let (reply, respond_at) = (response.decision.reply, response.decision.respond_at);
         let may_have_run = !matches!(reply, Reply::Rejected(_));
-        self.tracker.on_processed(now, message, may_have_run, reached.decision.takes_effect);
+        self.tracker.on_processed(now, message, may_have_run, response.decision.takes_effect);
         let call = Call {
             at: now,
             endpoint,
             instance: gateway as u32,
-            outcome: reached.outcome(),
+            outcome: response.outcome(),
             response_time: respond_at.map_or(Duration::ZERO, |at| at.saturating_sub(now)),
         };
-        let recorded = self.tracker.run.record.calls.len();
+        let record_index = self.tracker.run.record.calls.len();
         self.tracker.run.record.calls.push(call);
         let request = self.requests.len();
         self.requests.push(EndpointRequest {
             connection,
             endpoint,
             message,
-            recorded,
+            record_index,
             reply,
-            advertised_limit: reached.advertised_limit,
+            advertised_limit: response.advertised_limit,
             in_service: respond_at.is_some_and(|at| at > now),
             completed: false,
         });
         self.servers.set_request(connection, Some(request));
-        let is_first = self.sites.partners[partner].endpoints.first() == Some(&endpoint);
+        let is_first = self.model.partners[partner].endpoints.first() == Some(&endpoint);
         let delay =
             if is_first && gateway < self.delayed_gateways { SLOW_PATH_DELAY } else { Duration::ZERO };
         match respond_at {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Writes the response to a request, unless its connection has closed.
+    /// Sends the response to a request, unless its connection has closed, and tracks the final outcome or `Retry-After`
+    /// that the response conveys.
     pub(super) fn respond(&mut self, now: Duration, request: usize) {
         let Some(EndpointRequest { connection, endpoint, message, reply, advertised_limit, .. }) =
             self.complete_request(request)
@@ -84,29 +85,29 @@
         }
     }
 
-    /// A gateway abandoned a request: its connection closed before the response.
+    /// Records a request as failed because the gateway closed the connection before the response.
     pub(super) fn on_request_abandoned(&mut self, now: Duration, request: usize) {
-        if let Some(EndpointRequest { message, recorded, .. }) = self.complete_request(request) {
-            self.tracker.run.record.calls[recorded].outcome = Outcome::Failed;
+        if let Some(EndpointRequest { message, record_index, .. }) = self.complete_request(request) {
+            self.tracker.run.record.calls[record_index].outcome = Outcome::Failed;
             self.tracker.on_request_completed(now, message);
         }
     }
 
-    /// Ends a request and frees its server; none if it had ended before.
+    /// Marks a request as completed and frees the server that it occupies; `None` if it was already completed.
     fn complete_request(&mut self, request: usize) -> Option<EndpointRequest> {
         let request = &mut self.requests[request];
         if std::mem::replace(&mut request.completed, true) {
             return None;
         }
         if request.in_service {
-            self.sites.on_response_sent(request.endpoint);
+            self.model.on_response_sent(request.endpoint);
         }
         Some(*request)
     }
 
-    /// Whether an endpoint has a limit of its own, in place of a share of its partner's.
+    /// Whether an endpoint has its own limit instead of sharing the limit of its partner.
     fn has_own_limit(&self, endpoint: usize) -> bool {
-        let partner = self.sites.endpoints[endpoint].partner;
-        self.sites.partners[partner].spec.limit_per_endpoint
+        let partner = self.model.endpoints[endpoint].partner;
+        self.model.partners[partner].spec.limit_per_endpoint
     }
 }
--- a/crates/testbench/src/fleet/endpoints.rs
+++ b/crates/testbench/src/fleet/endpoints.rs
@@ -1,4 +1,4 @@
-//! HTTP connections of gateways to the fake endpoints and to discovery, and the requests at endpoints.
+//! HTTP server connections of the fake endpoints and of service discovery.
 
 use cloverstile_fakes::limit::AdvertisedLimit;
 use cloverstile_fakes::model::Reply;
@@ -7,33 +7,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What listens on a socket of the harness.
+/// The service behind a listener of the harness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Service {
-    /// Service discovery.
+    /// Service discovery, which also receives reports of final outcomes.
     Discovery,
-    /// The endpoint at a position of the scenario's endpoints.
+    /// The endpoint with this index in the partner model.
     Endpoint(usize),
 }
 
 struct HttpConnection {
     service: Service,
     decoder: Decoder,
-    /// Number of the request that awaits its response here.
+    /// Index of the request on this connection that has no response yet.
     request: Option<usize>,
 }
 
-/// What a connection's bytes held.
-pub(super) struct Received {
-    /// Whom they are for.
+/// The result of decoding received bytes.
+pub(super) struct DecodedBytes {
+    /// The service that the connection belongs to.
     pub service: Service,
-    /// Whole HTTP messages.
+    /// Complete HTTP messages, in the order received.
     pub messages: Vec<Message>,
-    /// Something that is not HTTP followed.
+    /// Whether invalid HTTP follows these messages.
     pub malformed: bool,
 }
 
-/// Listeners and accepted HTTP connections.
+/// Listeners of the fake services and their accepted HTTP connections.
 #[derive(Default)]
 pub(super) struct HttpServers {
     listeners: HashMap<ListenerId, Service>,
@@ -41,12 +41,12 @@
 }
 
 impl HttpServers {
-    /// Notes what a listener serves.
+    /// Registers the service behind a listener.
     pub fn add_listener(&mut self, listener: ListenerId, service: Service) {
         self.listeners.insert(listener, service);
     }
 
-    /// Notes an accepted connection and returns whom it is for.
+    /// Registers an accepted connection and returns its service.
     pub fn on_accepted(&mut self, listener: ListenerId, connection: ConnId) -> Service {
         let service = self.listeners.get(&listener).copied().unwrap_or(Service::Discovery);
         let decoder = Decoder::server(Limits::default());
@@ -54,8 +54,8 @@
         service
     }
 
-    /// Decodes received bytes; none if the connection is not one of these.
-    pub fn on_bytes(&mut self, now: Duration, connection: ConnId, bytes: &[u8]) -> Option<Received> {
+    /// Decodes received bytes; `None` if the connection is not an HTTP server connection.
+    pub fn on_bytes(&mut self, now: Duration, connection: ConnId, bytes: &[u8]) -> Option<DecodedBytes> {
         let HttpConnection { service, decoder, .. } = self.connections.get_mut(&connection)?;
         decoder.feed(now, bytes);
         let mut messages = Vec::new();
@@ -67,17 +67,17 @@
                 Err(_) => break true,
             }
         };
-        Some(Received { service: *service, messages, malformed })
+        Some(DecodedBytes { service: *service, messages, malformed })
     }
 
-    /// Notes which request awaits its response on a connection, if any.
+    /// Sets or clears the request on a connection that has no response yet.
     pub fn set_request(&mut self, connection: ConnId, request: Option<usize>) {
         if let Some(http) = self.connections.get_mut(&connection) {
             http.request = request;
         }
     }
 
-    /// Removes a closed connection; returns the request that got no response on it.
+    /// Removes a closed connection and returns its unanswered request, if any.
     pub fn on_closed(&mut self, connection: ConnId) -> Option<usize> {
         self.connections.remove(&connection)?.request
     }
@@ -86,25 +86,25 @@
 /// A request at an endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct EndpointRequest {
-    /// Its connection.
+    /// The connection to respond on.
     pub connection: ConnId,
-    /// Position of the endpoint.
+    /// Index of the endpoint in the partner model.
     pub endpoint: usize,
-    /// Number of the message.
+    /// Index of the message in the invariant tracker.
     pub message: usize,
-    /// Position in the record of calls.
-    pub recorded: usize,
-    /// What will be replied.
+    /// Index of the call in the load record.
+    pub record_index: usize,
+    /// The reply that the endpoint model has chosen.
     pub reply: Reply,
-    /// The shared limit that the response advertises.
+    /// The rate limit that the response advertises, if any.
     pub advertised_limit: Option<AdvertisedLimit>,
-    /// It occupies a server of the endpoint until its response.
+    /// Whether the request occupies a server of the endpoint until its response.
     pub in_service: bool,
-    /// It was answered, or its connection closed.
+    /// Whether the response was sent or the connection has closed.
     pub completed: bool,
 }
 
-/// The HTTP response to a request.
+/// Encodes a reply as an HTTP response. The advertised limit goes into the `Srv-Load` header.
 pub(super) fn encode_response(reply: Reply, advertised_limit: Option<AdvertisedLimit>) -> Vec<u8> {
     let mut headers = Headers::new();
     if let Some(limit) = advertised_limit {
--- a/crates/testbench/src/fleet/error.rs
+++ b/crates/testbench/src/fleet/error.rs
@@ -1,49 +1,51 @@
-//! Why a fleet could not be played.
+//! Errors of a fleet run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a fleet could not be played.
+/// The reason why a fleet run has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A socket, file or process operation failed.
-    #[error("fleet: {what}: {error}")]
+    #[error("fleet: {operation}: {error}")]
     Io {
-        /// What was tried.
-        what: String,
-        /// The system's error.
+        /// The failed operation, or the path of the file or program.
+        operation: String,
+        /// The error of the operating system.
         #[source]
         error: std::io::Error,
     },
-    /// A gateway did not become ready in time.
-    #[error("fleet: gateway {gateway} does not answer a PING at {address} within {timeout:?}")]
+    /// A gateway did not answer a PING in time after its start.
+    #[error("fleet: gateway {gateway} at {address} did not answer a PING within {timeout:?}")]
     NotReady {
-        /// Number of the gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// Where it should listen.
+        /// The address on which it is configured to listen.
         address: SocketAddr,
-        /// How long was waited.
+        /// The time limit for all gateways together.
         timeout: Duration,
     },
-    /// More gateways than there are addresses for.
-    #[error("fleet: {gateways} gateways; at most {max} are played as processes, more with --emulate")]
-    TooMany {
-        /// Gateways of the scenario.
+    /// The scenario has more gateways than a fleet has loopback addresses.
+    #[error(
+        "fleet: {gateways} gateways exceed the maximum of {max} gateway processes; use --emulate for more"
+    )]
+    TooManyGateways {
+        /// Number of gateways in the scenario.
         gateways: usize,
-        /// Gateways that can be played.
+        /// Maximum number of gateway processes.
         max: usize,
     },
     /// The run was interrupted by SIGINT or SIGTERM.
-    #[error("fleet: interrupted; the gateways were ended, and nothing is reported of this run")]
+    #[error("fleet: interrupted; the gateways were stopped and this run has no report")]
     Interrupted,
-    /// A gateway exited without having been told to.
-    #[error("fleet: gateway {0} exited by itself")]
-    Exited(usize),
+    /// A gateway exited although the harness had neither killed it nor told it to shut down.
+    #[error("fleet: gateway {0} exited unexpectedly")]
+    UnexpectedExit(usize),
 }
 
 impl FleetError {
-    /// Adds to an I/O error what was tried.
-    pub(super) fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> FleetError {
-        |error| FleetError::Io { what: what.into(), error }
+    /// Returns a conversion from an I/O error that adds the failed operation.
+    pub(super) fn io(operation: impl Into<String>) -> impl FnOnce(std::io::Error) -> FleetError {
+        |error| FleetError::Io { operation: operation.into(), error }
     }
 }
--- a/crates/testbench/src/fleet/faults.rs
+++ b/crates/testbench/src/fleet/faults.rs
@@ -1,26 +1,26 @@
-//! Faults of a scenario, applied to the fake endpoints, the traffic and the gateway processes.
+//! Applies the faults of a scenario to the fake endpoints, the traffic and the gateway processes.
 
 use super::harness_state::HarnessState;
 use super::timers::Timer;
 use cloverstile_simulator::{EndpointFault, LoadBalanceFault};
 use std::time::Duration;
 
-/// By so much later the first endpoint of each partner responds to the affected gateways of a `slow-for` fault.
+/// Delay that a `slow-for` fault adds to responses of each partner's first endpoint to the affected gateways.
 pub(super) const SLOW_PATH_DELAY: Duration = Duration::from_millis(500);
-/// A change of limits reaches each gateway within this time.
+/// Each gateway receives a change of limits at a random time within this period.
 const LIMIT_PROPAGATION: Duration = Duration::from_secs(2);
-/// A killed gateway is started again after this time.
+/// Delay after which a killed gateway is restarted.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
 
 impl HarnessState<'_> {
-    /// Begins or ends the fault at a position of the scenario.
-    pub(super) fn apply_fault(&mut self, now: Duration, position: usize, begins: bool) {
-        let Some(fault) = self.scenario.faults.values().nth(position) else { return };
+    /// Begins or ends a fault, given by its index among the scenario's faults.
+    pub(super) fn apply_fault(&mut self, now: Duration, fault_index: usize, begins: bool) {
+        let Some(fault) = self.scenario.faults.values().nth(fault_index) else { return };
         let Some(kind) = fault.fault_kind() else { return };
         let partners = self.scenario.affected_partners(fault);
         let endpoints: Vec<usize> = partners
             .iter()
-            .flat_map(|partner| self.sites.first_in_service(*partner, fault.magnitude))
+            .flat_map(|partner| self.model.first_in_service(*partner, fault.magnitude))
             .collect();
         match kind {
             LoadBalanceFault::Errors => self.fail_endpoints(now, &endpoints, EndpointFault::Errors, begins),
@@ -32,14 +32,14 @@
             LoadBalanceFault::LimitChange => {
                 self.multiply_limits(now, &partners, if begins { fault.magnitude } else { 1.0 });
             }
-            LoadBalanceFault::FrozenReports => self.sites.freeze_reports(begins),
+            LoadBalanceFault::FrozenReports => self.model.freeze_reports(begins),
             LoadBalanceFault::SlowPath => {
                 self.delayed_gateways = if begins { self.share_of_gateways(fault.magnitude) } else { 0 };
             }
             LoadBalanceFault::EndpointReplacement if begins => {
                 self.begin_replacement(now, &endpoints, Duration::from_secs_f64(fault.duration));
             }
-            LoadBalanceFault::EndpointReplacement => self.shut_replaced_endpoints(now),
+            LoadBalanceFault::EndpointReplacement => self.close_replaced_endpoints(now),
             LoadBalanceFault::InstanceRestart if begins => {
                 self.kill_gateways(now, self.share_of_gateways(fault.magnitude));
             }
@@ -53,16 +53,16 @@
 
     fn fail_endpoints(&mut self, now: Duration, endpoints: &[usize], fault: EndpointFault, begins: bool) {
         for endpoint in endpoints {
-            self.sites.set_fault(now, *endpoint, fault, begins);
+            self.model.set_fault(now, *endpoint, fault, begins);
         }
     }
 
     fn multiply_limits(&mut self, now: Duration, partners: &[usize], factor: f64) {
         for partner in partners {
-            self.sites.partners[*partner].set_limit_factor(now, factor);
+            self.model.partners[*partner].set_limit_factor(now, factor);
             self.record_limit(now, *partner);
         }
-        self.endpoint_list.weights_changed();
+        self.endpoint_list.on_weights_changed();
         self.notify_watches(now, LIMIT_PROPAGATION);
     }
 
@@ -76,28 +76,29 @@
         }
     }
 
-    /// Starts a cold endpoint for each that drains. Every gateway has heard of it after `duration`.
+    /// Marks endpoints as draining and adds one new endpoint, which has to warm up, for each. Each gateway receives the
+    /// new endpoint list at a random time within `duration`.
     fn begin_replacement(&mut self, now: Duration, endpoints: &[usize], duration: Duration) {
         let end = now + duration;
         for draining in endpoints.iter().copied() {
-            let old = &self.sites.endpoints[draining];
-            let (partner, pace) = (old.partner, old.capacity_factor);
-            let added = self.sites.add_endpoint(self.scenario, partner, pace, now, &mut self.rng);
+            let old = &self.model.endpoints[draining];
+            let (partner, capacity_factor) = (old.partner, old.capacity_factor);
+            let added = self.model.add_endpoint(self.scenario, partner, capacity_factor, now, &mut self.rng);
             if let Err(error) = self.open_endpoint(added) {
                 self.failure = Some(error);
                 return;
             }
             self.endpoint_list.drain(draining);
-            self.sites.endpoints[draining].in_service_until = end;
+            self.model.endpoints[draining].in_service_until = end;
             self.tracker.run.record.endpoints[draining].until = end;
             self.tracker.on_drain(end, draining);
         }
         self.notify_watches(now, duration);
     }
 
-    fn shut_replaced_endpoints(&mut self, now: Duration) {
+    fn close_replaced_endpoints(&mut self, now: Duration) {
         for (endpoint, listener) in self.endpoint_listeners.iter_mut().enumerate() {
-            if self.sites.endpoints[endpoint].in_service_until <= now {
+            if self.model.endpoints[endpoint].in_service_until <= now {
                 if let Some(listener) = listener.take() {
                     self.net.stop_listening(listener);
                 }
--- a/crates/testbench/src/fleet/gateway_config.rs
+++ b/crates/testbench/src/fleet/gateway_config.rs
@@ -1,21 +1,21 @@
-//! The configuration that a gateway process is started with, in the form of the users' platform.
+//! Configuration of a gateway process, in the JSON format of the platform.
 
 use cloverstile_simulator::{ClassSpec, LoadBalanceScenario};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Odd multiplier that spreads the seeds of neighbouring gateways over all bits (2^64 divided by the golden ratio).
+/// Odd multiplier (2^64 divided by the golden ratio) that makes seeds of consecutive gateways differ in all bits.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The settings file of one gateway of a fleet.
+/// The parts of the configuration that all gateways of a fleet share.
 pub(super) struct GatewayConfig<'a> {
-    /// The scenario.
+    /// Source of the classes, limits and rules.
     pub scenario: &'a LoadBalanceScenario,
-    /// Where service discovery listens.
+    /// Address of service discovery.
     pub discovery: SocketAddr,
-    /// The endpoint list at the start, in discovery's form.
+    /// Initial endpoint list, in the JSON format of service discovery.
     pub endpoint_list: &'a Value,
-    /// Seed of the run.
+    /// Seed of the run, from which each gateway's own seed is derived.
     pub seed: u64,
 }
 
@@ -23,7 +23,7 @@
     (seconds * 1e9) as u64
 }
 
-fn lane(name: &str, class: &ClassSpec) -> Value {
+fn class_to_json(name: &str, class: &ClassSpec) -> Value {
     let effect = match class.effect.as_str() {
         "safe" => "read_like",
         "keyed" => "idempotency_key",
@@ -37,7 +37,7 @@
 }
 
 impl GatewayConfig<'_> {
-    /// The configuration of one gateway that listens at an address.
+    /// Builds the configuration of the gateway with this index, which listens on `listen`.
     pub fn to_json(&self, gateway: usize, listen: SocketAddr) -> Value {
         let seed = self.seed.wrapping_add(gateway as u64).wrapping_mul(SEED_MULTIPLIER);
         json!({
@@ -54,7 +54,7 @@
             "Balancers": scenario.instances, "Discovery": "push", "Locality": 0, "ClientHabits": {"MarksRetry": false},
             "FamilyInfo": {"CallsOut": scenario.concurrency_limit, "KindBatch": [1, 1], "OwnLimits": [false, true], "Decay": "line",
                 "ReportX0": "share_of_the_allowance_that_is_left", "ReportX1": "calls_a_second"},
-            "Lanes": scenario.class.iter().map(|(name, class)| lane(name, class)).collect::<Vec<_>>(),
+            "Lanes": scenario.class.iter().map(|(name, class)| class_to_json(name, class)).collect::<Vec<_>>(),
             "MachineTypes": ["shared", "apart"], "Zones": ["here"], "WeightSource": "nominal",
             "Report": {"Fields": ["x0", "x1"], "Source": "piggyback"},
             "Permissions": {"MostHeld": scenario.max_queued, "SendCap": 8, "Cancel": true, "RetryAfter": true,
--- a/crates/testbench/src/fleet/harness.rs
+++ b/crates/testbench/src/fleet/harness.rs
@@ -1,6 +1,6 @@
-//! The load harness of a fleet: an event loop that serves endpoints, service discovery and clients over sockets.
+//! Load harness of a fleet: the event loop that runs fake endpoints, fake service discovery and clients on sockets.
 
-use super::discovery::read_final_outcomes;
+use super::discovery::parse_final_outcomes;
 use super::endpoint_list::query_number;
 use super::endpoints::Service;
 use super::error::FleetError;
@@ -14,18 +14,19 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Messages that have no final outcome this long after the last deadline are lost.
+/// The run ends this long after the latest possible deadline; messages without a final outcome are then lost.
 const OUTCOME_GRACE: Duration = Duration::from_secs(2);
-/// Gateways that exited by themselves are looked for at this interval.
+/// Interval at which the harness checks for gateways that exited unexpectedly.
 const PROCESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The path on which gateways report final outcomes.
+/// HTTP path of service discovery on which gateways report final outcomes.
 const NOTICES_PATH: &str = "/v1/notices";
 
-/// Plays a scenario with real processes of `program`, which takes the subcommand `node`, in the scenario's own time.
+/// Runs a scenario in real time, with one process of `program node` per gateway.
 ///
 /// # Errors
-/// Sockets, files or processes fail, a gateway exits by itself, or the run is interrupted.
+/// A socket, file or process operation fails, the scenario has too many gateways, a gateway isn't ready in time or
+/// exits unexpectedly, or the run is interrupted.
 pub fn run_fleet(
     scenario: &LoadBalanceScenario,
     program: &Path,
@@ -33,7 +34,7 @@
 ) -> Result<LoadBalanceRun, FleetError> {
     let mut state = HarnessState::new(scenario, seed)?;
     let discovery = state.listen()?;
-    let endpoint_list = state.endpoint_list.to_json(&mut state.sites);
+    let endpoint_list = state.endpoint_list.to_json(&mut state.model);
     let config = GatewayConfig { scenario, discovery, endpoint_list: &endpoint_list, seed };
     state.supervisor = Some(ProcessSupervisor::start(program, &config)?);
     let mut harness = LoadHarness { state };
@@ -50,11 +51,11 @@
     fn schedule_scenario(&mut self) {
         self.state.started = Instant::now();
         let timers = &mut self.state.timers;
-        for (position, fault) in self.state.scenario.faults.values().enumerate() {
+        for (fault_index, fault) in self.state.scenario.faults.values().enumerate() {
             let begin = Duration::from_secs_f64(fault.at);
-            timers.schedule(begin, Timer::Fault { position, begins: true });
+            timers.schedule(begin, Timer::Fault { fault_index, begins: true });
             let end = Duration::from_secs_f64(fault.at + fault.duration);
-            timers.schedule(end, Timer::Fault { position, begins: false });
+            timers.schedule(end, Timer::Fault { fault_index, begins: false });
         }
         timers.schedule(Duration::ZERO, Timer::NextSubmission);
         timers.schedule(PROCESS_CHECK_INTERVAL, Timer::CheckProcesses);
@@ -63,8 +64,8 @@
     fn run_until_complete(&mut self) -> Result<(), FleetError> {
         let scenario = self.state.scenario;
         let last_submission = Duration::from_secs_f64(scenario.seconds);
-        let longest = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
-        let end = last_submission + Duration::from_secs_f64(longest) + OUTCOME_GRACE;
+        let longest_deadline = scenario.class.values().map(|class| class.deadline).fold(0.0, f64::max);
+        let end = last_submission + Duration::from_secs_f64(longest_deadline) + OUTCOME_GRACE;
         loop {
             let now = self.state.started.elapsed();
             if let Some(error) = self.state.failure.take() {
@@ -86,12 +87,13 @@
         }
     }
 
-    /// Stops the gateways, each of which must exit successfully, and returns the record.
+    /// Shuts down the gateways and returns the record. If any doesn't exit successfully in time, that counts as one
+    /// violation.
     fn finish(mut self) -> LoadBalanceRun {
         let now = self.state.started.elapsed();
         let clean = self.state.supervisor.as_mut().is_none_or(ProcessSupervisor::shut_down);
         if !clean {
-            self.state.tracker.audit().missing_or_late_outcomes += 1;
+            self.state.tracker.violations_mut().missing_or_late_outcomes += 1;
         }
         let mut run = self.state.tracker.finish(now);
         run.record.calls.sort_by_key(|call| call.at);
@@ -104,7 +106,7 @@
             Timer::RetrySubmission { message } => self.state.submit(now, message),
             Timer::Response { request } => self.state.respond(now, request),
             Timer::WatchResponse { connection, watch } => self.answer_watch(connection, watch),
-            Timer::Fault { position, begins } => self.state.apply_fault(now, position, begins),
+            Timer::Fault { fault_index, begins } => self.state.apply_fault(now, fault_index, begins),
             Timer::StartGateway { gateway } => self.start_gateway(gateway),
             Timer::CheckProcesses => self.check_processes(now),
         }
@@ -119,7 +121,7 @@
 
     fn check_processes(&mut self, now: Duration) {
         if let Some(gateway) = self.state.supervisor.as_mut().and_then(ProcessSupervisor::find_exited) {
-            self.state.failure = Some(FleetError::Exited(gateway));
+            self.state.failure = Some(FleetError::UnexpectedExit(gateway));
         }
         self.state.timers.schedule(now + PROCESS_CHECK_INTERVAL, Timer::CheckProcesses);
     }
@@ -145,16 +147,16 @@
         if self.state.clients.contains(connection) {
             return self.state.on_client_bytes(now, connection, bytes);
         }
-        let Some(received) = self.state.servers.on_bytes(now, connection, bytes) else { return };
-        for message in received.messages {
-            match received.service {
+        let Some(decoded) = self.state.servers.on_bytes(now, connection, bytes) else { return };
+        for message in decoded.messages {
+            match decoded.service {
                 Service::Endpoint(endpoint) => {
                     self.state.on_endpoint_request(now, connection, endpoint, &message);
                 }
                 Service::Discovery => self.on_discovery_request(now, connection, &message),
             }
         }
-        if received.malformed {
+        if decoded.malformed {
             self.state.net.close(connection);
             self.on_closed(now, connection);
         }
@@ -188,17 +190,17 @@
     }
 
     fn on_final_outcomes(&mut self, now: Duration, body: &[u8]) {
-        for (message, outcome) in read_final_outcomes(body) {
+        for (message, outcome) in parse_final_outcomes(body) {
             if self.state.tracker.message(message).is_some() {
                 self.state.tracker.on_final_outcome(now, message, outcome);
             }
         }
     }
 
-    /// Answers a watch with the endpoint list as it is now, unless it has been answered.
+    /// Answers a watch with the current endpoint list, unless it was already answered or replaced.
     fn answer_watch(&mut self, connection: ConnId, watch: u64) {
         if self.state.watches.complete(connection, watch) {
-            let list = self.state.endpoint_list.to_json(&mut self.state.sites).to_string();
+            let list = self.state.endpoint_list.to_json(&mut self.state.model).to_string();
             let reply = encode_response(200, "OK", &Headers::new(), list.as_bytes());
             self.state.net.send(connection, &reply);
         }
--- a/crates/testbench/src/fleet/submissions.rs
+++ b/crates/testbench/src/fleet/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of messages by the clients, and the replies of the gateways.
+//! Submission of messages by the clients, and handling of the gateways' replies.
 
 use super::clients::SubmissionReply;
 use super::harness_state::HarnessState;
@@ -8,15 +8,16 @@
 use cloverstile_simulator::Arrival;
 use std::time::Duration;
 
-/// A client that can't connect tries again after this time: its gateway is being started.
+/// Delay after which a client retries a failed connection; its gateway may be restarting.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// The content of every message.
+/// Content of every message. The partner model ignores it.
 const CONTENT: &[u8] = b"a payslip";
-/// The trace field of every submission.
-const NO_TRACE: &[u8] = b"0000000000000000";
+/// Trace id of every submission: none.
+const EMPTY_TRACE_ID: &[u8] = b"0000000000000000";
 
 impl HarnessState<'_> {
-    /// Draws the next message, submits it and schedules the one after it.
+    /// Submits a randomly drawn message and schedules the next submission, unless that is after the end of the
+    /// scenario.
     pub(super) fn submit_next(&mut self, now: Duration) {
         let next = now + self.traffic.draw_interarrival_time(&mut self.rng);
         if next.as_secs_f64() < self.scenario.seconds {
@@ -27,7 +28,7 @@
         self.submit(now, message);
     }
 
-    /// Submits a message on an idle connection, or on a new one once it is established.
+    /// Submits a message on an idle connection, or opens one and submits the message when it is established.
     pub(super) fn submit(&mut self, now: Duration, message: usize) {
         let Some(gateway) = self.tracker.message(message).map(|tracked| tracked.gateway) else { return };
         if let Some(connection) = self.clients.reuse_idle(gateway, message) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A client's connection is established.
+    /// Sends the submission for which a client connection was opened.
     pub(super) fn on_client_connected(&mut self, connection: ConnId) {
         let now = self.started.elapsed();
         if let Some(message) = self.clients.on_connected(connection) {
@@ -46,18 +47,18 @@
         }
     }
 
-    fn send_submission(&mut self, now: Duration, connection: ConnId, number: usize) {
-        let Some(message) = self.tracker.message(number) else { return };
+    fn send_submission(&mut self, now: Duration, connection: ConnId, index: usize) {
+        let Some(message) = self.tracker.message(index) else { return };
         let Some((name, class)) = self.scenario.class.iter().nth(message.class) else { return };
         let remaining = message.deadline.saturating_sub(now).as_millis();
-        let key = if class.effect == "keyed" { format!(",k=k{number:x}") } else { String::new() };
+        let key = if class.effect == "keyed" { format!(",k=k{index:x}") } else { String::new() };
         let fields = format!("c={name},d={remaining}{key},dest={}", message.partner);
-        let id = format!("{number:016x}");
-        let words: [&[u8]; 5] = [b"MSG.PUT", NO_TRACE, id.as_bytes(), fields.as_bytes(), CONTENT];
+        let id = format!("{index:016x}");
+        let words: [&[u8]; 5] = [b"MSG.PUT", EMPTY_TRACE_ID, id.as_bytes(), fields.as_bytes(), CONTENT];
         self.net.send(connection, &cloverstile_resp::encode_command(&words));
     }
 
-    /// Bytes of a gateway have come on a client's connection.
+    /// Handles bytes that a client received from its gateway.
     pub(super) fn on_client_bytes(&mut self, now: Duration, connection: ConnId, bytes: &[u8]) {
         match self.clients.on_bytes(connection, bytes) {
             Some((message, SubmissionReply::Accepted)) => self.tracker.on_accepted(now, message),
@@ -71,14 +72,15 @@
         }
     }
 
-    /// A client's connection closed, or could not be established.
+    /// Handles a client connection that closed or could not be established: fails its submission or schedules a retry.
     pub(super) fn on_client_closed(&mut self, now: Duration, connection: ConnId) {
         let Some(unanswered) = self.clients.on_closed(connection) else { return };
         let message = unanswered.message;
         let too_late =
             self.tracker.message(message).is_none_or(|tracked| now + RECONNECT_DELAY >= tracked.deadline);
         if unanswered.was_connected || too_late {
-            // Submitted, and no reply came: a client can't tell what became of it, and gives it up here.
+            // Without a reply, the client can't tell whether the gateway accepted the message. It gives up here, as it
+            // does when no time is left to connect again.
             self.tracker.on_final_outcome(now, message, FinalOutcome::Failed);
         } else {
             self.timers.schedule(now + RECONNECT_DELAY, Timer::RetrySubmission { message });
--- a/crates/testbench/src/fleet/supervisor.rs
+++ b/crates/testbench/src/fleet/supervisor.rs
@@ -1,4 +1,4 @@
-//! The gateway processes of a fleet: configuration files, start, loss and end.
+//! Process management for the gateways of a fleet: configuration files, start, kill and shutdown.
 
 use super::error::FleetError;
 use super::gateway_config::GatewayConfig;
@@ -11,26 +11,26 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// A gateway answers a PING within this time of its start, also when hundreds start at once on two cores.
+/// Time within which all gateways must answer a PING; enough for hundreds that start at once on two cores.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// A gateway that is not ready is asked again after this time.
+/// Interval between PINGs to a gateway that is not ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Told to end, all gateways exit within this time.
+/// Time within which all gateways must exit after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Second byte of the first loopback address of a gateway.
-const FIRST_SECOND_BYTE: u8 = 96;
-/// Gateways for each value of the second byte.
+/// Lowest value of the second byte of the gateways' loopback addresses.
+const MIN_SECOND_BYTE: u8 = 96;
+/// Number of gateways per value of the second address byte.
 const GATEWAYS_PER_BYTE: usize = 200;
-/// Values of the second byte for each fleet.
+/// Number of values of the second address byte per fleet.
 const BYTES_PER_FLEET: u8 = 8;
-/// Fleets of one testbench process after which addresses are used again.
+/// Number of fleets in one testbench process that get distinct addresses; a later fleet reuses those of an earlier one.
 const DISTINCT_FLEETS: u8 = 12;
-/// Most gateways of a fleet.
+/// Maximum number of gateways in a fleet, as the address scheme allows.
 const MAX_GATEWAYS: usize = GATEWAYS_PER_BYTE * BYTES_PER_FLEET as usize;
-/// The port on which gateways listen.
+/// Port on which every gateway listens, each on its own address.
 const GATEWAY_PORT: u16 = 6379;
 
-/// All gateway processes of a fleet; killed where it is dropped, and their folder removed.
+/// Owns the gateway processes of a fleet and their folder. Dropping it kills the processes and removes the folder.
 pub(super) struct ProcessSupervisor {
     program: PathBuf,
     folder: PathBuf,
@@ -40,30 +40,30 @@
 
 impl Drop for ProcessSupervisor {
     fn drop(&mut self) {
-        // No process may write to the folder any more when it is removed.
+        // Kill the processes first, so that none writes to the folder while it is being removed.
         self.processes.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// The address of a gateway. The whole of it is one gateway's, so that its port can't be another's when it starts
-/// again, nor that of a fleet beside it.
+/// The address of a gateway. No other gateway of this fleet, or of one that runs at the same time, uses the same IP
+/// address, so its port is still free when it restarts.
 fn gateway_address(fleet: u8, gateway: usize) -> SocketAddr {
     let last = 1 + (std::process::id() % 250) as u8;
     let second =
-        FIRST_SECOND_BYTE + fleet % DISTINCT_FLEETS * BYTES_PER_FLEET + (gateway / GATEWAYS_PER_BYTE) as u8;
+        MIN_SECOND_BYTE + fleet % DISTINCT_FLEETS * BYTES_PER_FLEET + (gateway / GATEWAYS_PER_BYTE) as u8;
     let third = (gateway % GATEWAYS_PER_BYTE) as u8;
     SocketAddr::from((Ipv4Addr::new(127, second, third, last), GATEWAY_PORT))
 }
 
 impl ProcessSupervisor {
-    /// Starts all gateways of a scenario and waits until each answers.
+    /// Starts all gateways of a scenario and waits until each answers a PING.
     pub fn start(program: &Path, config: &GatewayConfig) -> Result<ProcessSupervisor, FleetError> {
         static FLEETS: AtomicU8 = AtomicU8::new(0);
         let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
         let gateways = config.scenario.instances;
         if gateways > MAX_GATEWAYS {
-            return Err(FleetError::TooMany { gateways, max: MAX_GATEWAYS });
+            return Err(FleetError::TooManyGateways { gateways, max: MAX_GATEWAYS });
         }
         let folder = std::env::temp_dir().join(format!("cloverstile-fleet-{}-{fleet}", std::process::id()));
         let mut supervisor = ProcessSupervisor {
@@ -80,7 +80,7 @@
         Ok(supervisor)
     }
 
-    /// Where a gateway listens.
+    /// The address on which a gateway listens.
     pub fn address(&self, gateway: usize) -> SocketAddr {
         self.addresses[gateway]
     }
@@ -114,7 +114,7 @@
         self.folder.join(format!("n{gateway}/config.json"))
     }
 
-    /// Starts one gateway on its folder.
+    /// Starts one gateway with its existing configuration and state.
     pub fn start_gateway(&mut self, gateway: usize) -> Result<(), FleetError> {
         let mut command = Command::new(&self.program);
         command
@@ -130,19 +130,19 @@
         Ok(())
     }
 
-    /// Kills one gateway at once; its folder stays.
+    /// Kills one gateway without a graceful shutdown. Its state stays on disk for a restart.
     pub fn kill(&mut self, gateway: usize) {
         self.processes[gateway] = None;
     }
 
-    /// The first gateway that exited without having been told to.
+    /// Index of the first gateway that exited unexpectedly, if any.
     pub fn find_exited(&mut self) -> Option<usize> {
         let exited =
             |process: &mut Option<GatewayProcess>| process.as_mut().is_some_and(GatewayProcess::has_exited);
         self.processes.iter_mut().position(exited)
     }
 
-    /// Tells all gateways to end and waits for them; true if each exited successfully and in time.
+    /// Sends SIGTERM to all gateways and waits for them. Returns true if each exited successfully and in time.
     pub fn shut_down(&mut self) -> bool {
         for process in self.processes.iter().flatten() {
             process.signal(Signal::TERM);
--- a/crates/testbench/src/fleet/timers.rs
+++ b/crates/testbench/src/fleet/timers.rs
@@ -1,63 +1,64 @@
-//! What the load harness does at a later time.
+//! Timers of the load harness.
 
 use cloverstile_net::ConnId;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// An action that is due at a time.
+/// A scheduled action of the load harness.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// Draw and submit the next message.
+    /// Draws and submits the next message.
     NextSubmission,
-    /// Submit a message again whose gateway did not accept the connection.
+    /// Retries the submission of a message after a failed connection.
     RetrySubmission {
-        /// Number of the message.
+        /// Index of the message in the invariant tracker.
         message: usize,
     },
-    /// Write the response to a request at an endpoint.
+    /// Sends the response to a request at an endpoint.
     Response {
-        /// Number of the request.
+        /// Index of the request in the harness state.
         request: usize,
     },
-    /// Answer a watch of the endpoint list.
+    /// Answers a watch of the endpoint list.
     WatchResponse {
-        /// Its connection.
+        /// Connection of the watch.
         connection: ConnId,
-        /// Number of the watch.
+        /// Number of the watch, which tells it from later ones on the connection.
         watch: u64,
     },
-    /// Begin or end a fault.
+    /// Begins or ends a fault.
     Fault {
-        /// Position of the fault in the scenario.
-        position: usize,
-        /// Whether it begins.
+        /// Index of the fault among the scenario's faults.
+        fault_index: usize,
+        /// Whether the fault begins or ends.
         begins: bool,
     },
-    /// Start a gateway that was killed.
+    /// Restarts a gateway that was killed.
     StartGateway {
-        /// Number of the gateway.
+        /// Index of the gateway.
         gateway: usize,
     },
-    /// Look for gateways that exited by themselves.
+    /// Checks for gateways that exited unexpectedly.
     CheckProcesses,
 }
 
-/// Timers in the order of their times; of equal times the one first scheduled comes first.
+/// Priority queue of timers by due time. Timers due at the same time run in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     heap: BinaryHeap<Reverse<(Duration, u64, Timer)>>,
+    /// Number of timers scheduled so far; breaks ties of due times.
     scheduled: u64,
 }
 
 impl TimerQueue {
-    /// Schedules a timer; times are since the start of the run.
+    /// Schedules a timer; `at` is relative to the start of the run.
     pub fn schedule(&mut self, at: Duration, timer: Timer) {
         self.scheduled += 1;
         self.heap.push(Reverse((at, self.scheduled, timer)));
     }
 
-    /// Removes and returns the earliest timer that is due.
+    /// Removes and returns the earliest timer that is due; `None` if none is due.
     pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let Reverse((at, ..)) = self.heap.peek()?;
         if *at > now {
@@ -66,7 +67,7 @@
         self.heap.pop().map(|Reverse((.., timer))| timer)
     }
 
-    /// Time until the earliest timer; none if there is no timer.
+    /// Time until the earliest timer, zero if it is overdue; `None` without a timer.
     pub fn until_next(&self, now: Duration) -> Option<Duration> {
         self.heap.peek().map(|Reverse((at, ..))| at.saturating_sub(now))
     }
