--- a/crates/testbench/src/bin/cloverstile-testbench/soak.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/soak.rs
@@ -1,7 +1,7 @@
-//! The subcommands that play seeds of troubles.
+//! The subcommands `soak` and `machine-faults`, which run gateways under the fault plans of a series of seeds.
 
 use clap::Args;
-use cloverstile_testbench::soak::{play_seed, Profile, RunOptions, SeedResult, Summary};
+use cloverstile_testbench::soak::{run_seed, Profile, RunOptions, SeedResult, Summary};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -39,12 +39,15 @@
 }
 
 impl SoakCommand {
-    /// Plays the seeds; true if nothing was broken.
+    /// Runs the seeds in parallel and prints the summary; true if no seed failed.
     pub fn play(&self, profile: Profile) -> Result<bool, String> {
-        let own = || std::env::current_exe().map_err(|error| format!("this program's path: {error}"));
+        let own_path = || {
+            std::env::current_exe()
+                .map_err(|error| format!("can't determine the path of this program: {error}"))
+        };
         let directory =
             std::path::absolute(&self.keep).map_err(|error| format!("{}: {error}", self.keep.display()))?;
-        let program = self.program.clone().map_or_else(own, Ok)?;
+        let program = self.program.clone().map_or_else(own_path, Ok)?;
         let with_faults = !self.no_faults;
         let options = RunOptions { program, profile, log: self.log.clone(), with_faults, directory };
         let started = Instant::now();
@@ -53,7 +56,7 @@
         let next = AtomicU64::new(self.first_seed);
         std::thread::scope(|scope| {
             for _ in 0..self.jobs.max(1) {
-                scope.spawn(|| self.play_next(&next, &options, &summary, &failure));
+                scope.spawn(|| self.run_next_seeds(&next, &options, &summary, &failure));
             }
         });
         if let Some(error) = failure.into_inner().ok().flatten() {
@@ -66,7 +69,8 @@
         Ok(summary.failed_seeds.is_empty())
     }
 
-    fn play_next(
+    /// Runs seeds, taking the next one each time, until none is left or the testbench itself fails.
+    fn run_next_seeds(
         &self,
         next: &AtomicU64,
         options: &RunOptions,
@@ -78,7 +82,7 @@
             if seed >= self.first_seed + self.seeds {
                 return;
             }
-            match play_seed(seed, options) {
+            match run_seed(seed, options) {
                 Ok(result) => {
                     report(&result, options);
                     if let Ok(mut summary) = summary.lock() {
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Prints the summary, as one line of JSON or in readable form.
     fn print(&self, summary: &Summary) -> Result<(), String> {
         let text = if self.json {
             serde_json::to_string(summary).map_err(|error| error.to_string())?
@@ -106,12 +111,13 @@
     }
 }
 
+/// Prints how to repeat a failed seed, and its violations; nothing if it passed.
 fn report(result: &SeedResult, options: &RunOptions) {
-    if !result.is_broken() {
+    if !result.has_failed() {
         return;
     }
     println!(
-        "seed {} broken, replay with --first-seed {} --seeds 1; kept in {}",
+        "seed {} failed, replay with --first-seed {} --seeds 1; logs and timeline kept in {}",
         result.seed,
         result.seed,
         options.folder(result.seed).display()
--- a/crates/testbench/src/lib.rs
+++ b/crates/testbench/src/lib.rs
@@ -1,13 +1,14 @@
-//! Fault-injection runs with real gateway processes over loopback sockets, and the checks of their invariants.
+//! Test runs of gateways, mostly real processes over loopback sockets, and the checks of the delivery invariants.
 //!
-//! - [`scenario`] reads fault scenarios (HCL), [`scenario_run`] runs one, and [`invariants`] checks from the records of
-//!   fake partners and clients alone whether a delivery guarantee was violated. [`replay`] converts a day of the users'
-//!   bench into a scenario, [`recovery_windows`] measures the load of recovering sites.
-//! - [`fleet`] runs hundreds of gateway processes under an even load; [`load_report`] sums such a run up.
-//! - [`simulation_metrics`] sums up what the simulator ran, [`experiment`] runs grids of it and keeps them as
-//!   [`table`]s, and [`html_report`] draws them.
-//! - [`soak`] plays seeds of troubles (faults of the machine, signals, crowds, endpoints, discovery) with real gateways.
-//! - [`benchmark`] measures what one gateway costs.
+//! - [`scenario`] reads fault scenarios (HCL), [`scenario_run`] runs one, and [`invariants`] checks whether a delivery
+//!   guarantee was violated, using only what fake partners and clients recorded. [`replay`] converts a day of the users'
+//!   test bench into a scenario, and [`recovery_windows`] measures the load of recovering zones.
+//! - [`fleet`] runs hundreds of gateway processes under a steady load; [`load_report`] computes the metrics of such a run.
+//! - [`simulation_metrics`] computes the metrics of simulator runs, [`experiment`] runs grids of scenarios, policies and
+//!   seeds in the simulator and stores the results as [`table`]s, and [`html_report`] plots them.
+//! - [`soak`] runs real gateways under randomized faults drawn from a seed: system calls, signals, connection floods,
+//!   endpoints and discovery.
+//! - [`benchmark`] measures the memory and CPU time of a single gateway.
 #![forbid(unsafe_code)]
 
 pub mod benchmark;
--- a/crates/testbench/src/process.rs
+++ b/crates/testbench/src/process.rs
@@ -1,54 +1,54 @@
-//! Gateway processes that the testbench starts: signals, waiting with a time limit, and their end.
+//! Gateway processes that the testbench starts: signalling, waiting with a timeout, and cleanup.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::process::{Child, ChildStdout, Command, ExitStatus};
 use std::time::{Duration, Instant};
 
-/// How often a process that is being waited for is looked at.
+/// Interval at which the exit of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A child process; killed and reaped where it is dropped.
+/// A child process that is killed and reaped on drop.
 pub(crate) struct GatewayProcess {
     child: Child,
 }
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        // One that has exited already makes both calls fail, which is the ordinary course.
+        // Errors are expected here: the process has often exited and been reaped already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl GatewayProcess {
-    /// Starts a process.
+    /// Spawns the process, with the streams and environment that the command sets.
     pub(crate) fn spawn(command: &mut Command) -> std::io::Result<GatewayProcess> {
         command.spawn().map(|child| GatewayProcess { child })
     }
 
-    /// The process id.
+    /// Operating system id of the process, also after it has exited.
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The piped standard output, once.
+    /// Takes the piped standard output; none if it isn't piped or was taken before.
     pub(crate) fn take_stdout(&mut self) -> Option<ChildStdout> {
         self.child.stdout.take()
     }
 
-    /// Sends a signal; a process that has exited needs none.
+    /// Sends a signal; errors are ignored, since the process may have exited.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether the process has exited, or its state can't be read any more.
+    /// Whether the process has exited; also true if its state can't be read.
     pub(crate) fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the exit; none if the process still runs at the deadline.
+    /// Waits for the process to exit; none if it still runs at the deadline or its state can't be read.
     pub(crate) fn wait_until(&mut self, deadline: Instant) -> Option<ExitStatus> {
         loop {
             match self.child.try_wait() {
--- a/crates/testbench/src/soak.rs
+++ b/crates/testbench/src/soak.rs
@@ -1,10 +1,11 @@
-//! Seeded runs of real gateway processes under everything that the users' pages name: faults of the machine, signals in
-//! series, crowds, endpoints and discovery that misbehave, several at once and on several gateways.
+//! Seeded soak runs: real gateway processes under every kind of fault that the users' pages name. These are failing system
+//! calls, sequences of signals, connection floods, and misbehaving endpoints and discovery agents, several at once and on
+//! several gateways.
 //!
-//! A [`FaultPlan`] is drawn from a seed; which kinds there are, how often and for how long stands in `troubles`. [`play_seed`]
-//! plays it with a fake platform and with clients that share order keys, send half commands, many at once, or across the end
-//! of a resting connection. What passed on sockets is checked by the invariants of `cloverstile_fakes::platform`; nothing is
-//! read from the gateways' logs.
+//! A [`FaultPlan`] is drawn from a seed; the module `troubles` lists the kinds of faults with their probabilities and
+//! durations. [`run_seed`] runs the plan against a fake platform, with clients that share order keys, split commands over two
+//! writes, pipeline them, or submit while the gateway closes an idle connection. The invariants of
+//! `cloverstile_fakes::platform` are checked on the recorded socket traffic alone, never on the gateways' logs.
 
 mod client;
 mod client_kinds;
@@ -23,5 +24,5 @@
 
 pub use options::RunOptions;
 pub use plan::{FaultPlan, Profile};
-pub use run::{play_seed, SeedResult};
+pub use run::{run_seed, SeedResult};
 pub use summary::Summary;
--- a/crates/testbench/src/soak/client_kinds.rs
+++ b/crates/testbench/src/soak/client_kinds.rs
@@ -1,4 +1,4 @@
-//! Kinds of clients: usual ones, such that send many commands at once or one in pieces, and such that rest.
+//! The kinds of clients: sequential, pipelining, splitting commands over two writes, and idling on a connection.
 
 use super::client::{Client, ReplyResult};
 use super::config::{DESTINATIONS, KEYED_CLASS, UNSAFE_CLASS};
@@ -11,41 +11,46 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Pause between two submissions of a client, in milliseconds.
-const PAUSE_MS: Range<u64> = 15..120;
-/// Time that messages have, in milliseconds.
+/// Pause between two rounds of a client, in milliseconds.
+const ROUND_PAUSE_MS: Range<u64> = 15..120;
+/// Time until the deadline of most messages, in milliseconds.
 const TIME_LEFT_MS: Range<u64> = 1500..5000;
-/// Share of the messages of the ordered class that have an order key, where one is free.
-const ORDERED_SHARE: f64 = 0.8;
-/// Time of messages that have very little.
-const LITTLE_TIME_MS: Range<u64> = 1..300;
-/// Commands that are sent at once.
-const PIPELINED: Range<usize> = 2..7;
-/// How long a connection rests, in milliseconds: gateways end it after three seconds.
-const REST_MS: Range<u64> = 200..4000;
-/// How long the second half of a command is behind the first, in milliseconds.
-const HALF_MS: Range<u64> = 10..900;
-/// Tries of a command that was not read.
-const MAX_TRIES: usize = 3;
+/// Share of the messages of the ordered class that get an order key, if one is free.
+const ORDER_KEY_SHARE: f64 = 0.8;
+/// Time until the deadline of messages that may expire before they are sent, in milliseconds.
+const SHORT_TIME_LEFT_MS: Range<u64> = 1..300;
+/// Number of commands in one pipeline.
+const PIPELINE_LENGTH: Range<usize> = 2..7;
+/// How long a connection stays idle, in milliseconds. Gateways close idle connections after three seconds.
+const IDLE_MS: Range<u64> = 200..4000;
+/// Delay between the two writes of a split command, in milliseconds.
+const SPLIT_DELAY_MS: Range<u64> = 10..900;
+/// Limit on how often a message is submitted while the gateway does not read the command.
+const MAX_SUBMISSIONS: usize = 3;
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// One command after another on a connection that it keeps.
-    Usual,
-    /// Several commands in one write.
+    /// Sends one command after another on a persistent connection.
+    Sequential,
+    /// Sends several commands in one write.
     Pipelining,
-    /// Commands in two pieces.
-    Slow,
-    /// It rests on its connection, and sends when that ends, or just before.
-    Resting,
+    /// Sends each command in two writes.
+    Splitting,
+    /// Leaves its connection idle, and submits when the gateway closes it or shortly before.
+    Idling,
 }
 
-/// The clients of each gateway.
-pub const CLIENTS: [ClientKind; 5] =
-    [ClientKind::Usual, ClientKind::Usual, ClientKind::Pipelining, ClientKind::Slow, ClientKind::Resting];
+/// Kinds of the clients of each gateway, by position.
+pub const CLIENTS: [ClientKind; 5] = [
+    ClientKind::Sequential,
+    ClientKind::Sequential,
+    ClientKind::Pipelining,
+    ClientKind::Splitting,
+    ClientKind::Idling,
+];
 
-/// One client of one gateway.
+/// A client of one gateway, which submits random messages.
 pub struct ClientLoop<'a> {
     platform: &'a Platform,
     gateway: &'a Gateway<'a>,
@@ -57,7 +62,7 @@
 }
 
 impl<'a> ClientLoop<'a> {
-    /// A client by its position among those of its gateway.
+    /// Creates the client at a position of [`CLIENTS`]. The seed, gateway number and position decide its random choices.
     pub fn new(
         platform: &'a Platform,
         gateway: &'a Gateway<'a>,
@@ -72,7 +77,7 @@
         ClientLoop { platform, gateway, number, kind, name, messages: 0, rng }
     }
 
-    /// Submits messages until it is told to stop; returns their number.
+    /// Submits messages until `stopped` is set; returns the number of messages created.
     pub fn run(mut self, stopped: &AtomicBool) -> u64 {
         let mut client = None;
         while !stopped.load(Ordering::Relaxed) {
@@ -80,35 +85,35 @@
                 Some(client) => Some(client),
                 None => Client::connect(self.platform, self.gateway, self.number).ok(),
             };
-            client = connected.and_then(|connected| self.turn(connected));
-            let pause = Duration::from_millis(self.rng.random_range(PAUSE_MS));
+            client = connected.and_then(|connected| self.run_round(connected));
+            let pause = Duration::from_millis(self.rng.random_range(ROUND_PAUSE_MS));
             std::thread::sleep(pause);
         }
         self.messages
     }
 
-    /// One round of the client; returns the connection where it goes on.
-    fn turn(&mut self, client: Client<'a>) -> Option<Client<'a>> {
+    /// Runs one round of the client; returns the connection if it can be used again.
+    fn run_round(&mut self, client: Client<'a>) -> Option<Client<'a>> {
         match self.kind {
-            ClientKind::Usual => {
+            ClientKind::Sequential => {
                 let (put, _lease) = self.next_message();
                 self.submit(client, &put)
             }
             ClientKind::Pipelining => self.pipeline(client),
-            ClientKind::Slow => self.submit_in_pieces(client),
-            ClientKind::Resting => self.rest_and_submit(client),
+            ClientKind::Splitting => self.submit_in_two_writes(client),
+            ClientKind::Idling => self.idle_and_submit(client),
         }
     }
 
-    /// The next message; where it has an order key, with the client's turn with that key, to be held until the reply.
+    /// Creates the next message. If it has an order key, the key's lease comes with it, to be held until the reply.
     fn next_message(&mut self) -> (PutCommand, Option<KeyLease<'a>>) {
         self.messages += 1;
         let id = format!("{}m{}", self.name, self.messages);
         let keyed = self.rng.random_bool(0.5);
-        let time_left = if self.rng.random_bool(0.1) { LITTLE_TIME_MS } else { TIME_LEFT_MS };
+        let time_left = if self.rng.random_bool(0.1) { SHORT_TIME_LEFT_MS } else { TIME_LEFT_MS };
         let time_left_ms = self.rng.random_range(time_left);
         let choice = self.rng.random();
-        let lease = (keyed && self.rng.random_bool(ORDERED_SHARE)).then(|| self.gateway.keys.lease(choice));
+        let lease = (keyed && self.rng.random_bool(ORDER_KEY_SHARE)).then(|| self.gateway.keys.lease(choice));
         let lease = lease.flatten();
         let put = PutCommand {
             key: lease.as_ref().map_or(0, |lease| lease.key),
@@ -122,16 +127,16 @@
         (put, lease)
     }
 
-    /// Submits a message, again on a new connection where it was not read.
+    /// Submits a message, and again on a new connection each time that it was not read.
     fn submit(&mut self, mut client: Client<'a>, put: &PutCommand) -> Option<Client<'a>> {
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_SUBMISSIONS {
             let sent = Instant::now();
             client.record_submission(put);
             let result =
                 if client.write(&put.encode()) { client.read_reply(put, sent) } else { ReplyResult::Unread };
             match result {
                 ReplyResult::Replied => {
-                    client.check_nothing_follows(put);
+                    client.check_no_extra_bytes(put);
                     return Some(client);
                 }
                 ReplyResult::Abandoned => return None,
@@ -143,9 +148,10 @@
         None
     }
 
+    /// Submits several messages in one write.
     fn pipeline(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
-        let count = self.rng.random_range(PIPELINED);
-        // Messages of one key are submitted one after another.
+        let count = self.rng.random_range(PIPELINE_LENGTH);
+        // Without order keys: messages of one key have to be submitted one after another.
         let puts: Vec<PutCommand> =
             (0..count).map(|_| PutCommand { key: 0, ..self.next_message().0 }).collect();
         let sent = Instant::now();
@@ -158,16 +164,17 @@
         puts.iter().all(replied).then_some(client)
     }
 
-    fn submit_in_pieces(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
+    /// Submits a message in two writes with a pause between them.
+    fn submit_in_two_writes(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
         let (put, _lease) = self.next_message();
         let bytes = put.encode();
         let first = self.rng.random_range(1..bytes.len());
-        let gap = Duration::from_millis(self.rng.random_range(HALF_MS));
+        let delay = Duration::from_millis(self.rng.random_range(SPLIT_DELAY_MS));
         let sent = Instant::now();
         if !client.write(&bytes[..first]) {
             return None;
         }
-        std::thread::sleep(gap);
+        std::thread::sleep(delay);
         client.record_submission(&put);
         if !client.write(&bytes[first..]) {
             return None;
@@ -175,13 +182,13 @@
         (client.read_reply(&put, sent) == ReplyResult::Replied).then_some(client)
     }
 
-    /// Rests behind a reply. Where the gateway ends the connection meanwhile, a request crosses that end.
-    fn rest_and_submit(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
+    /// Idles after a reply, then submits. If the gateway closes the connection meanwhile, the command crosses the close.
+    fn idle_and_submit(&mut self, mut client: Client<'a>) -> Option<Client<'a>> {
         if !client.write(&cloverstile_resp::encode_command(&[b"PING"])) || !client.read_pong() {
             return None;
         }
-        let time = Duration::from_millis(self.rng.random_range(REST_MS));
-        client.rest(time);
+        let time = Duration::from_millis(self.rng.random_range(IDLE_MS));
+        client.wait_for_close(time);
         let (put, _lease) = self.next_message();
         self.submit(client, &put)
     }
--- a/crates/testbench/src/soak/faults.rs
+++ b/crates/testbench/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What may happen in a run.
+//! The faults of a run. The names of types, variants and fields appear in timelines through their `Debug` form.
 
 use cloverstile_fakes::platform::AgentBehaviour;
 use cloverstile_fault_injection::{Call, Effect};
@@ -8,79 +8,79 @@
 /// How a gateway's process ends before it is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restart {
-    /// By SIGTERM, and by a kill 3.7 s later if it still runs.
+    /// By SIGTERM, and by SIGKILL 3.7 s later if it still runs.
     Terminated,
-    /// By SIGTERM, while accepts fail as the listener closes.
+    /// By SIGTERM, with `accept` failing about when the listener closes.
     TerminatedWhileAcceptsFail,
-    /// By a kill.
+    /// By SIGKILL.
     Killed,
-    /// By a kill inside its next write to the log, after so many bytes.
+    /// Killed inside its next write to the log, after this many bytes.
     KilledInWrite(u64),
-    /// By a kill while writes to the log are torn after so many bytes and can't be cut back.
+    /// By SIGKILL, while writes to the log are torn after this many bytes and truncating it fails.
     KilledOnTornDisk(u64),
-    /// By a kill right behind its next bytes on a socket.
+    /// Killed right after its next send on a socket.
     KilledBehindSend,
 }
 
-/// One step of a series of signals behind SIGTERM.
+/// One step of the sequence that follows SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalStep {
-    /// SIGTERM once more.
+    /// A further SIGTERM.
     Terminate,
     /// SIGINT.
     Interrupt,
-    /// SIGHUP with the configuration as it is.
+    /// SIGHUP with an unchanged configuration.
     Reload,
-    /// SIGHUP with discovery at the gateway's other address.
+    /// SIGHUP with a configuration that names the gateway's other discovery address.
     ReloadElsewhere,
-    /// The process is stopped for this time.
+    /// The process is paused (SIGSTOP, SIGCONT) for this time.
     HoldUp(Duration),
-    /// Clients connect in a burst.
+    /// Several clients connect at once and submit a message each.
     ConnectBurst,
 }
 
-/// One round of a series: a process is told to end, signalled further, and killed.
+/// One round of a sequence of signals: a process gets SIGTERM, further signals, and SIGKILL.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SignalRound {
-    /// How long behind the readiness of the process it begins.
+    /// Time from the start of the round, when the process is ready, to its first signal.
     pub after_ready: Duration,
-    /// Steps by their time behind SIGTERM, in order; none where the process is killed at once.
+    /// Steps with their time after SIGTERM, in order; empty if the process is killed at once.
     pub steps: Vec<(Duration, SignalStep)>,
-    /// Whether SIGTERM comes ahead of the kill at all.
+    /// Whether SIGTERM comes before SIGKILL.
     pub is_graceful: bool,
-    /// Processes behind this one that are killed as they recover, in a write of so many bytes.
+    /// For each following process that is killed during its recovery: after how many bytes of a write to its log.
     pub kills_in_recovery: Vec<u64>,
-    /// The process behind this one is told to end as it is executed.
+    /// Whether a process is then started that gets SIGTERM right after `exec`.
     pub terminated_at_exec: bool,
 }
 
 /// How an endpoint fails for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointFault {
-    /// It does not respond.
+    /// It never responds, and keeps connections open.
     Hangs,
-    /// It closes connections that carry a request.
+    /// It closes a connection when a request arrives on it.
     Disconnects,
-    /// It resets connections that carry a request, right behind its last byte or this long after.
+    /// It resets a connection this long after the last byte of a request; at once if zero.
     Resets(Duration),
-    /// It rejects requests, and asks to wait for so long.
+    /// It responds with status 429 and this Retry-After.
     Rejects(Duration),
-    /// It responds with this status and no more.
+    /// It responds with this status and an empty body.
     RespondsWith(u16),
-    /// It writes half a status line and then nothing.
+    /// It writes half a status line and stops.
     StopsInStatusLine,
-    /// It responds this long behind the time of its request and of its message.
+    /// It responds with status 200 this long after the deadlines of the request and of its message.
     RespondsLate(Duration),
-    /// It closes connections behind each response, under the next request.
+    /// It closes a connection after each response, when the next request may be on its way.
     ClosesIdle,
-    /// Its connections come up late or never.
+    /// It doesn't accept connections until the fault ends.
     AcceptsLate,
-    /// It drains in the endpoint list.
+    /// The endpoint list shows it as draining.
     Drains,
 }
 
 impl EndpointFault {
-    /// Whether the endpoint is out of order meanwhile, and recovers afterwards.
+    /// Whether the endpoint is down meanwhile, so that slow start applies to its recovery.
     pub fn is_outage(self) -> bool {
         matches!(
             self,
@@ -92,42 +92,42 @@
     }
 }
 
-/// How other clients crowd a gateway.
+/// A connection flood on a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crowd {
-    /// So many connections that say nothing.
+    /// This many idle connections.
     Idle(usize),
-    /// Clients that send, leave, and come back at once.
+    /// Clients that submit a message, disconnect, and connect again.
     Leaving,
 }
 
-/// One fault.
+/// A fault of a gateway, an endpoint or the machine, without the time at which it begins.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The wall clock of a gateway is stepped, for the rest of the run.
+    /// The wall clock of a gateway is stepped for the rest of the run.
     WallClock { ahead: bool, offset: Duration },
-    /// A system call of a gateway fails in this way, so often at most, for a time.
+    /// A system call of a gateway has this effect, at most `count` times, for a time.
     Calls { call: Call, effect: Effect, count: u64, lasts: Duration },
-    /// A gateway is stopped and goes on after a time.
+    /// A gateway is paused (SIGSTOP, SIGCONT) for a time.
     HoldUp(Duration),
-    /// A gateway ends and is started again.
+    /// A gateway process ends and is started again.
     Restart(Restart),
-    /// A gateway goes through rounds of signals.
+    /// A gateway goes through rounds of signals, each with a restart.
     Signals(Vec<SignalRound>),
-    /// A gateway is told to read its configuration again, with discovery at its other address.
+    /// A gateway reloads its configuration, which names its other discovery address.
     Reload,
     /// An endpoint fails for a time.
     Endpoint { endpoint: usize, fault: EndpointFault, lasts: Duration },
-    /// The agent of a gateway misbehaves for a time.
+    /// The discovery and notification agents of a gateway misbehave for a time.
     Agent { behaviour: AgentBehaviour, lasts: Duration },
-    /// Other clients crowd a gateway for a time.
+    /// A connection flood hits a gateway for a time.
     Crowd { crowd: Crowd, lasts: Duration },
-    /// Busy threads take the machine's cores for a time.
+    /// Busy threads occupy CPU cores for a time.
     BusyCores { threads: usize, lasts: Duration },
 }
 
 impl Fault {
-    /// Whether it is one gateway's.
+    /// Whether the fault affects a single gateway, rather than an endpoint or the whole machine.
     pub fn is_of_gateway(&self) -> bool {
         !matches!(self, Fault::Endpoint { .. } | Fault::BusyCores { .. })
     }
--- a/crates/testbench/src/soak/gateways.rs
+++ b/crates/testbench/src/soak/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateway processes of a run, each under the control of its faults.
+//! The gateway processes of a run, each with its own fault control.
 
 use super::config::{gateway_config, DESTINATIONS};
 use super::keys::SharedKeys;
@@ -17,51 +17,53 @@
 
 /// The port on which gateways listen.
 const GATEWAY_PORT: u16 = 6379;
-/// Addresses of the gateways of all runs beside each other: the second byte and the upper half of the third are the seed's,
-/// the lower half of the third is the gateway's number, the last byte is the testbench's.
-const FIRST_SECOND_BYTE: u8 = 200;
-const SECOND_BYTES: u64 = 50;
-const SEED_HALVES: u64 = 16;
-const GATEWAYS_OF_A_SEED: u8 = 16;
-const LAST_BYTES: u32 = 250;
-/// The platform kills a process this long after its shutdown signal.
-pub(super) const KILL_AFTER: Duration = Duration::from_millis(3700);
-/// How long a process may take to be ready, also while faults last.
+/// Runs in parallel use distinct loopback addresses. The second octet and the upper half of the third come from the seed, the
+/// lower half of the third is the gateway's number, and the last octet comes from the testbench's process id.
+const FIRST_SECOND_OCTET: u8 = 200;
+const SECOND_OCTETS: u64 = 50;
+const THIRD_OCTET_SEEDS: u64 = 16;
+const GATEWAYS_PER_SEED: u8 = 16;
+const LAST_OCTETS: u32 = 250;
+/// The platform sends SIGKILL this long after SIGTERM.
+pub(super) const SHUTDOWN_KILL_DELAY: Duration = Duration::from_millis(3700);
+/// How long a process may take to become ready, even while faults are active.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a process is polled for readiness or exit.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// Linux's ticks of processor time.
+/// Unit of CPU time in `/proc` on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// One gateway: its processes, one after another.
+/// A gateway: its configuration, its faults, and its processes, one after another.
 pub struct Gateway<'a> {
     pub(super) number: usize,
     pub(super) platform: &'a Platform,
     options: &'a RunOptions,
     folder: PathBuf,
-    /// Where it listens.
+    /// Address on which it listens for clients.
     pub address: SocketAddr,
-    /// Its faults.
+    /// Control of the faults injected into its processes.
     pub faults: FaultControl,
     /// The order keys that its clients share.
     pub keys: SharedKeys,
     process: Mutex<Option<GatewayProcess>>,
-    /// Held while the process is ended and started: one restart follows another.
+    /// Held during a restart, so that restarts don't overlap.
     pub(super) lifecycle: Mutex<()>,
-    /// Which of its discovery addresses the configuration names.
+    /// Which of the gateway's discovery addresses the configuration names.
     discovery: Mutex<usize>,
     gateways: usize,
-    /// When processes were killed.
+    /// Times just before and just after each kill.
     kills: Mutex<Vec<Instant>>,
     starts: Mutex<usize>,
     crashes: Mutex<u64>,
 }
 
+/// Locks a mutex, ignoring poisoning.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl<'a> Gateway<'a> {
-    /// Prepares a gateway's folder and configuration; nothing runs yet.
+    /// Creates a gateway's folder and configuration; no process is started.
     ///
     /// # Errors
     /// The folder can't be written.
@@ -96,7 +98,7 @@
         Ok(gateway)
     }
 
-    /// Writes the configuration, and replaces the old one by it.
+    /// Writes the configuration and replaces the old file atomically.
     fn write_config(&self) -> io::Result<()> {
         let agent = self.number * AGENTS_PER_GATEWAY + *lock(&self.discovery);
         let discovery = self.platform.discovery[agent];
@@ -107,12 +109,12 @@
         fs::rename(new, self.folder.join("config.json"))
     }
 
-    /// Tells the process to read its configuration again, with discovery at the other address where `elsewhere`.
+    /// Makes the process reload its configuration, with its other discovery address if `switch_discovery` is set.
     ///
     /// # Errors
     /// The configuration can't be written.
-    pub fn reload(&self, elsewhere: bool) -> io::Result<()> {
-        if elsewhere {
+    pub fn reload(&self, switch_discovery: bool) -> io::Result<()> {
+        if switch_discovery {
             let mut discovery = lock(&self.discovery);
             *discovery = (*discovery + 1) % AGENTS_PER_GATEWAY;
             drop(discovery);
@@ -122,24 +124,24 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if one runs.
+    /// Sends a signal to the current process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(process) = lock(&self.process).as_ref() {
             process.signal(signal);
         }
     }
 
-    /// Discovery addresses of this gateway, by their index.
+    /// Indices of this gateway's discovery agents among those of the platform.
     pub fn agents(&self) -> std::ops::Range<usize> {
         self.number * AGENTS_PER_GATEWAY..(self.number + 1) * AGENTS_PER_GATEWAY
     }
 
-    /// Number of processes started.
+    /// Number of processes started so far.
     pub fn starts(&self) -> usize {
         *lock(&self.starts)
     }
 
-    /// Starts a process and waits until it replies. One that is not ready in time counts as a crash.
+    /// Starts a process and waits until it answers a `PING`. One that is not ready in time counts as a crash.
     ///
     /// # Errors
     /// The process can't be started at all.
@@ -157,7 +159,7 @@
         Ok(())
     }
 
-    /// Starts a process and tells it to end at once; it is killed once the platform would.
+    /// Starts a process and sends SIGTERM at once, and SIGKILL when the platform would.
     ///
     /// # Errors
     /// The process can't be started at all.
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// Starts a process.
+    /// Starts a process without waiting for it, with a log file of its own.
     pub(super) fn spawn(&self) -> io::Result<()> {
         let attempt = {
             let mut starts = lock(&self.starts);
@@ -196,51 +198,54 @@
             && read_line(&mut stream).is_ok_and(|line| line == "+PONG")
     }
 
+    /// Whether no process runs: the last one has exited, was killed, or none was started.
     pub(super) fn has_exited(&self) -> bool {
         lock(&self.process).as_mut().is_none_or(GatewayProcess::has_exited)
     }
 
+    /// Counts a crash, and records it with its reason.
     pub(super) fn count_crash(&self, reason: &str) {
         *lock(&self.crashes) += 1;
-        self.describe(format!("crash: {reason}"));
+        self.record_event(format!("crash: {reason}"));
     }
 
-    fn describe(&self, description: String) {
+    fn record_event(&self, description: String) {
         self.platform.record(PlatformEvent::Fault { gateway: Some(self.number), description });
     }
 
-    /// Number of processes that ended by themselves, did not get ready, or did not end when told to.
+    /// Number of processes that exited unexpectedly, were not ready in time, or did not shut down properly.
     pub fn crashes(&self) -> u64 {
         *lock(&self.crashes)
     }
 
-    /// Processor time of the process so far, in seconds; zero where none runs.
+    /// CPU time of the current process so far, in seconds; zero if there is none.
     pub fn cpu_seconds(&self) -> f64 {
         lock(&self.process).as_ref().and_then(|process| cpu_seconds(process.id())).unwrap_or_default()
     }
 
-    /// Whether a process of this gateway was killed at or after a moment.
-    pub fn was_killed_since(&self, moment: Instant) -> bool {
-        lock(&self.kills).iter().any(|at| *at >= moment)
+    /// Whether a process of this gateway was killed at or after `time`.
+    pub fn was_killed_since(&self, time: Instant) -> bool {
+        lock(&self.kills).iter().any(|at| *at >= time)
     }
 
-    /// Stops the process for a time.
-    pub fn hold_up(&self, time: Duration) {
+    /// Pauses the process with SIGSTOP and SIGCONT.
+    pub fn pause(&self, time: Duration) {
         self.signal(Signal::STOP);
         std::thread::sleep(time);
         self.signal(Signal::CONT);
     }
 
+    /// Kills and reaps the process. The time is recorded before and after, so that clients see the kill either way.
     pub(super) fn kill(&self) {
         lock(&self.kills).push(Instant::now());
         *lock(&self.process) = None;
         lock(&self.kills).push(Instant::now());
     }
 
-    /// Tells the process to end, and kills it once the platform would; true if it ended by itself, in order.
+    /// Sends SIGTERM, and SIGKILL when the platform would; true if the process exited with success after SIGTERM.
     pub fn shut_down(&self) -> bool {
         self.signal(Signal::TERM);
-        let end = Instant::now() + KILL_AFTER;
+        let end = Instant::now() + SHUTDOWN_KILL_DELAY;
         let status = lock(&self.process).as_mut().and_then(|process| process.wait_until(end));
         if status.is_none() {
             self.kill();
@@ -248,47 +253,47 @@
         status.is_some_and(|status| status.success())
     }
 
-    /// Ends all faults.
+    /// Clears all rules for system calls; a step of the wall clock stays.
     ///
     /// # Errors
     /// The control file can't be written.
     pub fn clear_faults(&self) -> io::Result<()> {
-        (0..cloverstile_fault_injection::MAX_RULES).try_for_each(|place| self.faults.clear_rule(place))
+        (0..cloverstile_fault_injection::MAX_RULES).try_for_each(|slot| self.faults.clear_rule(slot))
     }
 
-    /// Counts a process that has ended by itself, and starts another one, so that what it held gets its end.
+    /// Counts a crash if the process has exited, and starts another one, so that pending messages get their final outcomes.
     ///
     /// # Errors
     /// The next process can't be started.
-    pub fn revive(&self) -> io::Result<()> {
+    pub fn restart_if_exited(&self) -> io::Result<()> {
         if !self.has_exited() {
             return Ok(());
         }
-        self.count_crash("ended by itself");
+        self.count_crash("exited unexpectedly");
         self.platform.record(PlatformEvent::GatewayDown { gateway: self.number });
         self.start()
     }
 }
 
-/// The loopback address of a gateway.
+/// The loopback address of a gateway, distinct from those of runs in parallel.
 fn gateway_address(seed: u64, number: usize) -> Ipv4Addr {
-    let second = FIRST_SECOND_BYTE + (seed % SECOND_BYTES) as u8;
-    let third = (seed / SECOND_BYTES % SEED_HALVES) as u8 * GATEWAYS_OF_A_SEED + number as u8;
-    let last = 1 + (std::process::id() % LAST_BYTES) as u8;
+    let second = FIRST_SECOND_OCTET + (seed % SECOND_OCTETS) as u8;
+    let third = (seed / SECOND_OCTETS % THIRD_OCTET_SEEDS) as u8 * GATEWAYS_PER_SEED + number as u8;
+    let last = 1 + (std::process::id() % LAST_OCTETS) as u8;
     Ipv4Addr::new(127, second, third, last)
 }
 
-/// Processor time of a process, in user and system mode, from `/proc` (fields 14 and 15 of `stat`, in ticks).
+/// CPU time of a process, in user and system mode, from `/proc` (fields 14 and 15 of `stat`, in ticks).
 fn cpu_seconds(process: u32) -> Option<f64> {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    let (_, behind_name) = stat.rsplit_once(')')?;
-    let mut fields = behind_name.split_whitespace().skip(11);
+    let (_, after_name) = stat.rsplit_once(')')?;
+    let mut fields = after_name.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
     Some((user + system) / TICKS_PER_SECOND)
 }
 
-/// Destinations of the platform's endpoints.
+/// Destination of each of the platform's endpoints, by index of the endpoint.
 pub fn destinations() -> &'static [u16] {
     &DESTINATIONS
 }
--- a/crates/testbench/src/soak/options.rs
+++ b/crates/testbench/src/soak/options.rs
@@ -1,25 +1,25 @@
-//! How runs are played.
+//! Options of soak runs.
 
 use super::plan::Profile;
 use std::path::PathBuf;
 
-/// How runs are played.
+/// Options that all runs of a series share.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The program, which takes `node --log FILTER`.
+    /// Path of the gateway program, which is started with `node --log FILTER`.
     pub program: PathBuf,
-    /// Which troubles are played.
+    /// Which kinds of faults the plans are drawn from.
     pub profile: Profile,
-    /// Filter of the gateways' logs.
+    /// Filter for the gateways' logs, in the syntax of their `--log` option.
     pub log: String,
-    /// Whether faults are played; without them a run shows what its load costs.
+    /// Whether faults are injected; without them, a run measures what its load costs the gateways.
     pub with_faults: bool,
-    /// Where the folders of runs lie; those of runs on which something was broken stay.
+    /// Parent of the runs' folders; only the folders of failed runs are kept.
     pub directory: PathBuf,
 }
 
 impl RunOptions {
-    /// The folder of a seed's run.
+    /// Folder for the state, logs and timeline of a seed's run.
     pub fn folder(&self, seed: u64) -> PathBuf {
         self.directory.join(format!("seed-{seed}"))
     }
--- a/crates/testbench/src/soak/plan.rs
+++ b/crates/testbench/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from its seed.
+//! Fault plans, drawn from a seed.
 
 use super::faults::Fault;
 use super::troubles;
@@ -7,50 +7,51 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Most gateways of a run.
+/// Largest number of gateways in a run.
 const MAX_GATEWAYS: usize = 8;
-/// Gateways of most runs: narrow moments need many runs more than many gateways.
-const USUAL_GATEWAYS: usize = 3;
-/// Share of runs with up to [`MAX_GATEWAYS`].
-const CROWDED_SHARE: f64 = 0.1;
-/// Shortest and longest time of load, in milliseconds.
+/// Largest number of gateways in most runs: narrow race windows are hit by many runs rather than by many gateways.
+const USUAL_MAX_GATEWAYS: usize = 3;
+/// Share of runs with up to [`MAX_GATEWAYS`] gateways.
+const MANY_GATEWAYS_SHARE: f64 = 0.1;
+/// Range of the duration of the load, in milliseconds.
 const LOAD_MS: Range<u64> = 7_000..11_000;
-/// Share of runs of the soak with a quiet time in the middle, and its length.
+/// Share of the runs of [`Profile::Soak`] with a period without faults in the middle.
 const QUIET_SHARE: f64 = 0.15;
+/// Length of the period without faults.
 const QUIET_TIME: Duration = Duration::from_secs(10);
-/// Moments of trouble in a run.
-const MOMENTS: Range<usize> = 6..14;
-/// Troubles that begin together at a moment of the soak.
-const OVERLAPS: Range<usize> = 1..5;
-/// How far apart they begin, in milliseconds.
-const OVERLAP_MS: Range<u64> = 0..400;
+/// How many times in a run faults begin.
+const FAULT_TIMES: Range<usize> = 6..14;
+/// How many faults begin at about the same time in [`Profile::Soak`].
+const CONCURRENT_FAULTS: Range<usize> = 1..5;
+/// How long after that time each fault begins, in milliseconds.
+const CONCURRENT_FAULT_DELAY_MS: Range<u64> = 0..400;
 
-/// Which troubles a run is drawn from.
+/// Which kinds of faults a run draws from. The value is the index into their weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Faults of the machine, one at each moment; one that lasts may meet the next.
+    /// Faults of the machine, restarts, and some faults of endpoints. They begin one at a time, but may overlap.
     MachineFaults = 0,
-    /// All troubles, several at once.
+    /// All kinds of faults, several at once.
     Soak = 1,
 }
 
-/// A fault with its time and its gateway.
+/// A fault with the time at which it begins and the gateway that it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, since the start of the load.
+    /// When it begins, counted from the start of the load.
     pub at: Duration,
-    /// Number of the gateway that it is for; not used for endpoints.
+    /// Number of the gateway that it affects; unused for faults of endpoints and of the whole machine.
     pub gateway: usize,
-    /// Its kind, as the summary counts it.
+    /// Name of its kind, under which the summary counts it.
     pub kind: &'static str,
-    /// What it is.
+    /// The fault itself, with its parameters.
     pub fault: Fault,
 }
 
-/// All that a seed decides.
+/// Everything that a seed decides. A seed always gives the same plan.
 #[derive(Clone, Debug)]
 pub struct FaultPlan {
-    /// Seed of the clients' choices.
+    /// The seed, from which the clients' random choices are drawn as well.
     pub seed: u64,
     /// Number of gateways.
     pub gateways: usize,
@@ -61,28 +62,28 @@
 }
 
 impl FaultPlan {
-    /// The same load without a fault, to see what it costs.
+    /// The same load without faults, to measure what it costs.
     pub fn without_faults(self) -> FaultPlan {
         FaultPlan { faults: Vec::new(), ..self }
     }
 
-    /// The plan of a seed, with so many endpoints.
+    /// Draws the plan of a seed for this number of endpoints.
     pub fn new(seed: u64, profile: Profile, endpoints: usize) -> FaultPlan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let crowded = rng.random_bool(CROWDED_SHARE);
-        let gateways = rng.random_range(1..=if crowded { MAX_GATEWAYS } else { USUAL_GATEWAYS });
+        let has_many = rng.random_bool(MANY_GATEWAYS_SHARE);
+        let gateways = rng.random_range(1..=if has_many { MAX_GATEWAYS } else { USUAL_MAX_GATEWAYS });
         let load = Duration::from_millis(rng.random_range(LOAD_MS));
         let mut faults = Vec::new();
-        for _ in 0..rng.random_range(MOMENTS) {
+        for _ in 0..rng.random_range(FAULT_TIMES) {
             let at = load.mul_f64(rng.random_range(0.05..0.95));
             let gateway = rng.random_range(0..gateways);
-            let count = if profile == Profile::Soak { rng.random_range(OVERLAPS) } else { 1 };
+            let count = if profile == Profile::Soak { rng.random_range(CONCURRENT_FAULTS) } else { 1 };
             for _ in 0..count {
                 let (kind, fault) = troubles::draw(&mut rng, profile, endpoints);
-                let apart = Duration::from_millis(rng.random_range(OVERLAP_MS));
-                // Most that begin together are one gateway's.
+                let delay = Duration::from_millis(rng.random_range(CONCURRENT_FAULT_DELAY_MS));
+                // Most faults that begin together affect the same gateway.
                 let gateway = if rng.random_bool(0.7) { gateway } else { rng.random_range(0..gateways) };
-                faults.push(PlannedFault { at: at + apart, gateway, kind, fault });
+                faults.push(PlannedFault { at: at + delay, gateway, kind, fault });
             }
         }
         let mut plan = FaultPlan { seed, gateways, load, faults };
@@ -93,7 +94,7 @@
         plan
     }
 
-    /// Moves the second half of the faults behind a quiet time.
+    /// Delays the faults of the second half, which leaves a period without new faults in the middle.
     fn insert_quiet_time(&mut self) {
         let middle = self.load / 2;
         let late = self.faults.iter_mut().filter(|planned| planned.at >= middle);
--- a/crates/testbench/src/soak/run.rs
+++ b/crates/testbench/src/soak/run.rs
@@ -1,11 +1,11 @@
-//! One seed: its gateways, clients and faults, and what was broken.
+//! The run of one seed: gateways, clients and faults, and the check of the invariants.
 
 use super::client_kinds::{ClientLoop, CLIENTS};
 use super::config::{
-    CAPACITY_OF_A_GATEWAY, COLD_SHARE, DRAIN_GRACE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, REPEAT_WINDOW,
-    SETTLE_TIME, WARM_UP_TIME,
+    CAPACITY_PER_GATEWAY, DRAIN_GRACE, INITIAL_CAPACITY_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW,
+    REPEAT_WINDOW, SETTLE_TIME, WARM_UP_TIME,
 };
-use super::crowds::{crowd, take_cores};
+use super::crowds::{occupy_cores, run_crowd};
 use super::faults::{EndpointFault, Fault};
 use super::gateways::{destinations, Gateway};
 use super::options::RunOptions;
@@ -22,77 +22,82 @@
 use std::time::{Duration, Instant};
 use std::{fs, io};
 
-/// What the platform allows: 300 ms for an end, 50 ms for each limit, and a hold-up of 0.15 s.
+/// How long after its deadline a message may get its final outcome. The platform allows 300 ms for that, 50 ms on each time
+/// limit, and a process pause of 150 ms.
 const OUTCOME_SLACK: Duration = Duration::from_millis(500);
-const HOLD_UP: Duration = Duration::from_millis(150);
+/// Longest pause of a process that the platform allows.
+const MAX_PAUSE: Duration = Duration::from_millis(150);
+/// How long after a restarted gateway is ready its messages may still get their final outcomes.
 const RESTART_GRACE: Duration = Duration::from_millis(1500);
+/// Slack that the platform allows on each time limit.
 const WINDOW_SLACK: Duration = Duration::from_millis(50);
-const GIVEN_UP_SHARE: f64 = 0.7;
-/// How long behind the load the ends of all messages are waited for: longer than any message has.
-const END_TIMEOUT: Duration = Duration::from_secs(8);
-/// A response that stops in its status line.
+/// Share of a message's time to its deadline before which it may not be given up if no request was sent.
+const MIN_GIVE_UP_SHARE: f64 = 0.7;
+/// How long after the load to wait for the final outcomes of all messages: longer than the time to any deadline.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
+/// A response that stops within its status line.
 const HALF_STATUS_LINE: &[u8] = b"HTTP/1.1 200 O";
-/// An outage at least this long is one that an endpoint recovers from.
-const SHORTEST_OUTAGE: Duration = Duration::from_secs(1);
-/// Places of a control for faults of calls; the others are those of restarts.
-const CALL_PLACES: usize = 13;
+/// Outages at least this long are recorded, so that the slow start rule is checked on the recovery.
+const MIN_RECORDED_OUTAGE: Duration = Duration::from_secs(1);
+/// Number of slots of a fault control for faults of system calls; restarts use the others.
+const CALL_SLOTS: usize = 13;
 
-/// What a seed came to.
+/// Result of the run of a seed.
 #[derive(Debug)]
 pub struct SeedResult {
-    /// The seed.
+    /// The seed that gave the plan, and gives the same plan again.
     pub seed: u64,
-    /// Messages submitted.
+    /// Number of messages that the clients created.
     pub messages: u64,
-    /// Kind of each fault.
+    /// Name of the kind of each planned fault.
     pub fault_kinds: Vec<&'static str>,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u64,
-    /// Processes started.
+    /// Number of gateway processes started, including restarts.
     pub processes: u64,
-    /// Violated invariants.
+    /// Violations of the delivery invariants.
     pub violations: Vec<Violation>,
-    /// Processes that ended by themselves, were not ready in time or did not end when told to.
+    /// Processes that exited unexpectedly, were not ready in time, or did not shut down properly.
     pub crashes: u64,
-    /// Processor time of the gateways' last processes, in seconds.
+    /// CPU time of the gateways' last processes, in seconds.
     pub cpu_seconds: f64,
 }
 
 impl SeedResult {
-    /// Whether anything was broken.
-    pub fn is_broken(&self) -> bool {
+    /// Whether an invariant was violated or a process crashed.
+    pub fn has_failed(&self) -> bool {
         !self.violations.is_empty() || self.crashes > 0
     }
 }
 
-/// Plays a seed.
+/// Runs the plan of a seed and checks the invariants. The run's folder is kept if the run failed, and removed otherwise.
 ///
 /// # Errors
-/// Files, sockets or processes of the testbench itself fail.
-pub fn play_seed(seed: u64, options: &RunOptions) -> io::Result<SeedResult> {
+/// An operation of the testbench itself on files, sockets or processes fails.
+pub fn run_seed(seed: u64, options: &RunOptions) -> io::Result<SeedResult> {
     let plan = FaultPlan::new(seed, options.profile, destinations().len());
     let plan = if options.with_faults { plan } else { plan.without_faults() };
     let platform = Platform::start_with_gateways(destinations(), plan.gateways)?;
-    let capacity = CAPACITY_OF_A_GATEWAY * plan.gateways as f64;
+    let capacity = CAPACITY_PER_GATEWAY * plan.gateways as f64;
     platform.set_weight(capacity);
     let gateways: Vec<Gateway> = (0..plan.gateways)
         .map(|number| Gateway::new(number, plan.gateways, seed, &platform, options))
         .collect::<io::Result<_>>()?;
     gateways.iter().try_for_each(Gateway::start)?;
     let run = Run { plan: &plan, platform: &platform, gateways: &gateways };
-    let messages = run.play()?;
+    let messages = run.execute()?;
     let cpu_seconds = gateways.iter().map(Gateway::cpu_seconds).sum();
     run.finish()?;
     let rules = InvariantRules {
         repeat_window: REPEAT_WINDOW + WINDOW_SLACK,
         outcome_slack: OUTCOME_SLACK,
         restart_grace: RESTART_GRACE,
-        min_give_up_share: GIVEN_UP_SHARE,
+        min_give_up_share: MIN_GIVE_UP_SHARE,
         settle_time: SETTLE_TIME,
-        drain_grace: DRAIN_GRACE + HOLD_UP,
+        drain_grace: DRAIN_GRACE + MAX_PAUSE,
         slow_start: Some(SlowStartRule {
             capacity,
-            initial_capacity_share: COLD_SHARE,
+            initial_capacity_share: INITIAL_CAPACITY_SHARE,
             warm_up_time: WARM_UP_TIME,
             overload_multiple: OVERLOAD_MULTIPLE,
             overload_window: OVERLOAD_WINDOW,
@@ -110,7 +115,7 @@
         cpu_seconds,
     };
     let folder = options.folder(seed);
-    if result.is_broken() {
+    if result.has_failed() {
         fs::write(folder.join("timeline.txt"), timeline(&plan, &events, &result))?;
     } else {
         fs::remove_dir_all(&folder)?;
@@ -118,6 +123,7 @@
     Ok(result)
 }
 
+/// A run in progress: its plan, the fake platform, and the gateways.
 struct Run<'a> {
     plan: &'a FaultPlan,
     platform: &'a Platform,
@@ -125,8 +131,8 @@
 }
 
 impl Run<'_> {
-    /// Plays load and faults; returns the number of messages.
-    fn play(&self) -> io::Result<u64> {
+    /// Runs the clients and the faults; returns the number of messages.
+    fn execute(&self) -> io::Result<u64> {
         let (stopped, messages) = (AtomicBool::new(false), AtomicU64::new(0));
         let started = Instant::now();
         std::thread::scope(|scope| {
@@ -138,8 +144,8 @@
                 }
             }
             let faults = self.plan.faults.iter().enumerate();
-            let play = |(place, planned)| scope.spawn(move || self.play_fault(started, place, planned));
-            let results: Vec<_> = faults.map(play).collect();
+            let spawn = |(index, planned)| scope.spawn(move || self.run_fault(started, index, planned));
+            let results: Vec<_> = faults.map(spawn).collect();
             let failed = results.into_iter().filter_map(|thread| thread.join().ok()?.err()).next();
             std::thread::sleep(self.plan.load.saturating_sub(started.elapsed()));
             stopped.store(true, Ordering::Relaxed);
@@ -148,43 +154,45 @@
         Ok(messages.load(Ordering::Relaxed))
     }
 
-    fn play_fault(&self, started: Instant, place: usize, planned: &PlannedFault) -> io::Result<()> {
+    /// Waits for the start of a fault, records it, and applies it until it ends.
+    fn run_fault(&self, started: Instant, index: usize, planned: &PlannedFault) -> io::Result<()> {
         std::thread::sleep(planned.at.saturating_sub(started.elapsed()));
-        self.describe(planned);
-        self.apply(planned, place % CALL_PLACES)
+        self.record_fault(planned);
+        self.apply(planned, index % CALL_SLOTS)
     }
 
-    fn describe(&self, planned: &PlannedFault) {
+    fn record_fault(&self, planned: &PlannedFault) {
         let gateway = planned.fault.is_of_gateway().then_some(planned.gateway);
         let description = planned.fault.to_string();
         self.platform.record(PlatformEvent::Fault { gateway, description });
     }
 
-    fn apply(&self, planned: &PlannedFault, place: usize) -> io::Result<()> {
+    /// Applies a fault until it ends; `slot` is for the rule of a system call.
+    fn apply(&self, planned: &PlannedFault, slot: usize) -> io::Result<()> {
         let gateway = &self.gateways[planned.gateway];
         match &planned.fault {
             Fault::WallClock { ahead, offset } => gateway.faults.set_wall_clock(*ahead, *offset),
             Fault::Calls { call, effect, count, lasts } => {
                 let rule = Rule { count: *count, ..Rule::always(*call, *effect) };
-                gateway.faults.set_rule(place, &rule)?;
+                gateway.faults.set_rule(slot, &rule)?;
                 std::thread::sleep(*lasts);
-                gateway.faults.clear_rule(place)
+                gateway.faults.clear_rule(slot)
             }
             Fault::HoldUp(time) => {
-                gateway.hold_up(*time);
+                gateway.pause(*time);
                 Ok(())
             }
             Fault::Restart(restart) => gateway.restart(*restart),
-            Fault::Signals(rounds) => SignalSeries { gateway }.play(rounds),
+            Fault::Signals(rounds) => SignalSeries { gateway }.run(rounds),
             Fault::Reload => gateway.reload(true),
             Fault::Endpoint { endpoint, fault, lasts } => {
-                let is_outage = fault.is_outage() && *lasts >= SHORTEST_OUTAGE;
+                let is_outage = fault.is_outage() && *lasts >= MIN_RECORDED_OUTAGE;
                 if is_outage {
                     self.platform.record(PlatformEvent::EndpointFailed { endpoint: *endpoint });
                 }
                 self.fail_endpoint(*endpoint, *fault);
                 std::thread::sleep(*lasts);
-                self.heal_endpoint(*endpoint);
+                self.restore_endpoint(*endpoint);
                 if is_outage {
                     self.platform.record(PlatformEvent::EndpointReturned { endpoint: *endpoint });
                 }
@@ -193,21 +201,21 @@
             Fault::Agent { behaviour, lasts } => {
                 gateway.agents().for_each(|agent| self.platform.set_agent_behaviour(agent, *behaviour));
                 std::thread::sleep(*lasts);
-                self.heal_agents(gateway);
+                self.restore_agents(gateway);
                 Ok(())
             }
             Fault::Crowd { crowd: kind, lasts } => {
-                crowd(gateway, *kind, *lasts);
+                run_crowd(gateway, *kind, *lasts);
                 Ok(())
             }
             Fault::BusyCores { threads, lasts } => {
-                take_cores(*threads, *lasts);
+                occupy_cores(*threads, *lasts);
                 Ok(())
             }
         }
     }
 
-    fn heal_agents(&self, gateway: &Gateway) {
+    fn restore_agents(&self, gateway: &Gateway) {
         gateway.agents().for_each(|agent| self.platform.set_agent_behaviour(agent, AgentBehaviour::Prompt));
     }
 
@@ -219,7 +227,7 @@
             EndpointFault::Rejects(wait) => EndpointBehaviour::Respond(rejection(wait)),
             EndpointFault::RespondsWith(status) => EndpointBehaviour::Respond(empty_response(status)),
             EndpointFault::StopsInStatusLine => EndpointBehaviour::Respond(HALF_STATUS_LINE.to_vec()),
-            EndpointFault::RespondsLate(behind) => EndpointBehaviour::DeliverLate(behind),
+            EndpointFault::RespondsLate(delay) => EndpointBehaviour::DeliverLate(delay),
             EndpointFault::ClosesIdle => EndpointBehaviour::DeliverAndClose,
             EndpointFault::AcceptsLate => return self.platform.set_accepting(endpoint, false),
             EndpointFault::Drains => return self.platform.set_lifecycle(endpoint, "DRAINING"),
@@ -227,33 +235,34 @@
         self.platform.set_behaviour(endpoint, behaviour);
     }
 
-    fn heal_endpoint(&self, endpoint: usize) {
+    fn restore_endpoint(&self, endpoint: usize) {
         self.platform.set_behaviour(endpoint, EndpointBehaviour::Deliver(Duration::from_millis(2)));
         self.platform.set_lifecycle(endpoint, "SERVING");
         self.platform.set_accepting(endpoint, true);
     }
 
-    /// Ends all faults, waits for the ends of all messages, and ends the gateways.
+    /// Ends all faults, waits for the final outcomes of all messages, and shuts the gateways down. A gateway that does not
+    /// exit cleanly counts as crashed and is restarted, so that its pending messages get their final outcomes.
     fn finish(&self) -> io::Result<()> {
-        (0..destinations().len()).for_each(|endpoint| self.heal_endpoint(endpoint));
+        (0..destinations().len()).for_each(|endpoint| self.restore_endpoint(endpoint));
         for gateway in self.gateways {
-            self.heal_agents(gateway);
+            self.restore_agents(gateway);
             gateway.clear_faults()?;
-            gateway.revive()?;
+            gateway.restart_if_exited()?;
         }
-        self.platform.wait_until(END_TIMEOUT, all_have_ended);
+        self.platform.wait_until(OUTCOME_TIMEOUT, all_have_outcomes);
         for gateway in self.gateways {
             self.platform
                 .record(PlatformEvent::Fault { gateway: None, description: "end of the run".into() });
             if !gateway.shut_down() {
-                gateway.revive()?;
+                gateway.restart_if_exited()?;
             }
         }
         Ok(())
     }
 }
 
-/// A rejection that asks to wait.
+/// A response with status 429 and a Retry-After header.
 fn rejection(wait: Duration) -> Vec<u8> {
     let seconds = wait.as_secs_f64();
     format!("HTTP/1.1 429 Wait\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n").into_bytes()
@@ -263,11 +272,12 @@
     format!("HTTP/1.1 {status} Status\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
 
-fn all_have_ended(events: &[TimedEvent]) -> bool {
-    let mut open = BTreeSet::new();
+/// Whether every accepted message has a final outcome or a notification.
+fn all_have_outcomes(events: &[TimedEvent]) -> bool {
+    let mut pending = BTreeSet::new();
     for (_, event) in events {
         if let PlatformEvent::Accepted { id, .. } = event {
-            open.insert(id.as_str());
+            pending.insert(id.as_str());
         }
     }
     for (_, event) in events {
@@ -275,16 +285,18 @@
         | PlatformEvent::Released { id }
         | PlatformEvent::Notification { id, .. } = event
         {
-            open.remove(id.as_str());
+            pending.remove(id.as_str());
         }
     }
-    open.is_empty()
+    pending.is_empty()
 }
 
-/// The events of a run in order, those of the violated messages marked, behind what was violated.
+/// The text of `timeline.txt`: the violations, then the events of the run in order, with those of the messages concerned
+/// marked by `>`.
 fn timeline(plan: &FaultPlan, events: &[TimedEvent], result: &SeedResult) -> String {
     let mut text = format!("seed {}, {} gateways\n", plan.seed, plan.gateways);
-    let broken: BTreeSet<&str> = result.violations.iter().map(|violation| violation.id.as_str()).collect();
+    let violated_ids: BTreeSet<&str> =
+        result.violations.iter().map(|violation| violation.id.as_str()).collect();
     for violation in &result.violations {
         let _ = writeln!(text, "violated: {:?}: {violation}", violation.kind);
     }
@@ -297,7 +309,7 @@
             PlatformEvent::RequestReceived { id, endpoint, .. } => format!("request {id} at {endpoint}"),
             other => format!("{other:?}"),
         };
-        let is_marked = broken.iter().any(|id| {
+        let is_marked = violated_ids.iter().any(|id| {
             description.contains(&format!("\"{id}\"")) || description.contains(&format!("request {id} "))
         });
         let mark = if is_marked { ">" } else { " " };
--- a/crates/testbench/src/soak/summary.rs
+++ b/crates/testbench/src/soak/summary.rs
@@ -1,59 +1,59 @@
-//! Counts over the seeds of a series.
+//! Totals over the seeds of a series. The field names are keys of the printed JSON.
 
 use super::run::SeedResult;
 use cloverstile_fakes::platform::ViolationKind;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a series of seeds came to.
+/// Totals over a series of seeds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// Seeds played.
+    /// Number of seeds that were run.
     pub seeds: u64,
-    /// Messages submitted.
+    /// Number of messages that the clients created.
     pub messages: u64,
-    /// Faults by kind.
+    /// Number of planned faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Processes started.
+    /// Number of gateway processes started.
     pub processes: u64,
-    /// Processes started behind the first ones.
+    /// Number of processes started beyond the first of each gateway.
     pub restarts: u64,
-    /// Commands that were read without a reply, and ends that came too late.
+    /// Commands that were read but got no reply, and final outcomes that came too late.
     pub lost: u64,
-    /// Replies that were none, or more than the commands.
+    /// Malformed replies, and replies beyond the number of commands.
     pub wrong_replies: u64,
-    /// Connections that the system had taken and that were dropped.
+    /// Connections that the kernel had completed and the gateway dropped.
     pub dropped: u64,
-    /// Messages that were refused and sent.
+    /// Messages that were refused to the client and sent to the endpoint all the same.
     pub refused_and_forwarded: u64,
-    /// Messages that were sent after the notification of their end.
+    /// Messages that were sent after the notification of their final outcome.
     pub forwarded_after_end: u64,
-    /// Messages sent again against their class.
+    /// Messages sent again after an attempt that may have taken effect, though their class forbids it.
     pub duplicates: u64,
-    /// Messages given up without a request, with most of their time left.
+    /// Messages given up before any request was sent, with most of the time to their deadline left.
     pub early_given_up: u64,
-    /// Messages sent before an earlier one of their key was over.
+    /// Messages sent before an earlier message with the same order key was settled.
     pub order_broken: u64,
-    /// Requests inside a wait that an endpoint asked for.
+    /// Requests sent before the Retry-After time of an endpoint was over.
     pub retry_after_broken: u64,
-    /// Requests to endpoints that were known to drain.
+    /// Requests sent to endpoints that the gateway knew to be draining.
     pub drain_broken: u64,
-    /// Recovering endpoints that were pushed over.
+    /// Recovering endpoints that got more load than slow start allows.
     pub slow_start_broken: u64,
-    /// Accepted messages without an end.
+    /// Accepted messages that never got a final outcome.
     pub no_end: u64,
-    /// Processes that ended by themselves, were not ready in time or did not end when told to.
+    /// Processes that exited unexpectedly, were not ready in time, or did not shut down properly.
     pub crashes: u64,
-    /// Processor time of the gateways, in seconds; without faults, what the messages cost.
+    /// CPU time of the gateways' last processes, in seconds. Without faults, this is what the messages cost.
     pub gateway_cpu_seconds: f64,
-    /// Seeds on which something was broken.
+    /// Seeds on which an invariant was violated or a process crashed.
     pub failed_seeds: Vec<u64>,
-    /// Real time of the series.
+    /// Elapsed real time of the series, in seconds.
     pub seconds: f64,
 }
 
 impl Summary {
-    /// Adds a seed's result.
+    /// Adds the result of a seed.
     pub fn add(&mut self, result: &SeedResult) {
         self.seeds += 1;
         self.messages += result.messages;
@@ -67,7 +67,7 @@
         for violation in &result.violations {
             *self.count_of(violation.kind) += 1;
         }
-        if result.is_broken() {
+        if result.has_failed() {
             self.failed_seeds.push(result.seed);
         }
     }
--- a/crates/testbench/src/soak/troubles.rs
+++ b/crates/testbench/src/soak/troubles.rs
@@ -1,4 +1,4 @@
-//! The troubles that a run may meet: kinds, probabilities and spans, one line a trouble of the standing page.
+//! The kinds of faults with their probabilities and durations, one line for each kind that the standing page lists.
 
 use super::faults::{Crowd, EndpointFault, Fault, Restart, SignalRound, SignalStep};
 use super::plan::Profile;
@@ -10,18 +10,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// One kind of trouble.
-pub(super) struct Trouble {
-    /// Its name in the summary.
+/// A kind of fault, which draws faults with random parameters.
+pub(super) struct FaultKind {
+    /// Name of the kind, as the summary prints it.
     pub name: &'static str,
-    /// How often it is drawn, of all weights of the profile, in machine faults and in the soak.
+    /// Weights with which it is drawn, by profile: [`Profile::MachineFaults`], [`Profile::Soak`].
     weights: [u32; 2],
+    /// Draws a fault; the number is that of the endpoints.
     draw: fn(&mut ChaCha8Rng, usize) -> Fault,
 }
 
-impl Trouble {
+impl FaultKind {
     const fn new(name: &'static str, weights: [u32; 2], draw: fn(&mut ChaCha8Rng, usize) -> Fault) -> Self {
-        Trouble { name, weights, draw }
+        FaultKind { name, weights, draw }
     }
 
     fn weight(&self, profile: Profile) -> u32 {
@@ -29,90 +30,96 @@
     }
 }
 
-/// All kinds. Spans are in milliseconds.
+/// All kinds. Ranges of times are in milliseconds. The order of entries and draws decides the plan of a seed.
 #[rustfmt::skip]
-const TROUBLES: &[Trouble] = &[
-    // Of the machine: clocks are stepped, disks and system calls fail, writes are torn, processes are held up.
-    Trouble::new("wall_clock_step",       [10, 3], |rng, _| wall_clock_step(rng)),
-    Trouble::new("disk_error",            [7, 3],  |rng, _| calls(Call::FileWrite, errno(rng, &DISK_ERRORS), u64::MAX, ms(rng, 50..1500))),
-    Trouble::new("disk_torn",             [7, 3],  |rng, _| torn_writes(rng)),
-    Trouble::new("disk_cut_error",        [2, 1],  |rng, _| calls(Call::FileTruncate, errno(rng, &DISK_ERRORS), u64::MAX, ms(rng, 50..1500))),
-    Trouble::new("disk_rename_torn",      [2, 1],  |rng, _| torn_renames(rng)),
-    Trouble::new("disk_short",            [2, 1],  |rng, _| calls(Call::FileWrite, Effect::Short(rng.random_range(1..200)), u64::MAX, ms(rng, 50..1500))),
-    Trouble::new("disk_slow",             [4, 2],  |rng, _| calls(Call::FileWrite, Effect::Delay(ms(rng, 5..150)), 3, ms(rng, 50..1500))),
-    // A moment: a message whose time ends meanwhile has its notification 0.3 s later at the latest.
-    Trouble::new("accept_error",          [5, 2],  |rng, _| calls(Call::Accept, errno(rng, &ACCEPT_ERRORS), rng.random_range(1..5), ms(rng, 20..250))),
-    Trouble::new("connect_error",         [2, 1],  |rng, _| calls(Call::Connect, errno(rng, &CONNECT_ERRORS), u64::MAX, ms(rng, 20..250))),
-    Trouble::new("socket_error",          [3, 1],  |rng, _| calls(Call::Socket, errno(rng, &SOCKET_ERRORS), u64::MAX, ms(rng, 20..250))),
-    Trouble::new("socket_option_error",   [2, 1],  |rng, _| calls(Call::SocketOption, errno(rng, &OPTION_ERRORS), u64::MAX, ms(rng, 20..250))),
-    Trouble::new("send_short",            [2, 1],  |rng, _| calls(Call::Send, Effect::Short(rng.random_range(1..20)), u64::MAX, ms(rng, 20..250))),
-    Trouble::new("receive_short",         [2, 1],  |rng, _| calls(Call::Receive, Effect::Short(rng.random_range(1..20)), u64::MAX, ms(rng, 20..250))),
-    Trouble::new("send_slow",             [3, 2],  |rng, _| calls(Call::Send, Effect::Delay(ms(rng, 20..150)), 2, ms(rng, 20..250))),
-    Trouble::new("hold_up_behind_clock",  [3, 4],  |rng, _| calls(Call::MonotonicClock, Effect::Delay(ms(rng, 20..150)), 2, ms(rng, 20..250))),
-    Trouble::new("hold_up",               [8, 6],  |rng, _| Fault::HoldUp(ms(rng, 20..150))),
-    Trouble::new("busy_cores",            [0, 2],  |rng, _| Fault::BusyCores { threads: rng.random_range(2..9), lasts: ms(rng, 500..3000) }),
-    // Restarts: SIGTERM and SIGKILL alone, a kill right behind an answer, inside a write, in recovery; signals in series.
-    Trouble::new("sigterm",               [7, 1],  |_, _|   Fault::Restart(Restart::Terminated)),
-    Trouble::new("sigterm_accept_error",  [2, 1],  |_, _|   Fault::Restart(Restart::TerminatedWhileAcceptsFail)),
-    Trouble::new("sigkill",               [5, 1],  |_, _|   Fault::Restart(Restart::Killed)),
-    Trouble::new("kill_in_write",         [2, 2],  |rng, _| Fault::Restart(Restart::KilledInWrite(rng.random_range(1..600)))),
-    Trouble::new("kill_on_torn_disk",     [2, 1],  |rng, _| Fault::Restart(Restart::KilledOnTornDisk(rng.random_range(1..1200)))),
-    Trouble::new("kill_behind_send",      [4, 3],  |_, _|   Fault::Restart(Restart::KilledBehindSend)),
-    Trouble::new("signals",               [0, 14], |rng, _| signal_series(rng)),
-    Trouble::new("reload",                [0, 3],  |_, _|   Fault::Reload),
-    // Endpoints: silent, closed, reset under requests and long after, spoilt and late answers, waits, drains, late connections.
-    Trouble::new("endpoint_hangs",        [4, 6],  |rng, n| endpoint(rng, n, EndpointFault::Hangs, 200..4000)),
-    Trouble::new("endpoint_disconnects",  [3, 2],  |rng, n| endpoint(rng, n, EndpointFault::Disconnects, 200..2000)),
-    Trouble::new("endpoint_rejects",      [3, 3],  rejects),
-    Trouble::new("endpoint_drains",       [3, 4],  |rng, n| endpoint(rng, n, EndpointFault::Drains, 200..4000)),
-    Trouble::new("endpoint_resets",       [0, 3],  resets),
-    Trouble::new("endpoint_500",          [0, 2],  |rng, n| endpoint(rng, n, EndpointFault::RespondsWith(500), 200..1500)),
-    Trouble::new("endpoint_410",          [0, 1],  |rng, n| endpoint(rng, n, EndpointFault::RespondsWith(410), 50..400)),
-    Trouble::new("endpoint_504",          [0, 1],  |rng, n| endpoint(rng, n, EndpointFault::RespondsWith(504), 50..600)),
-    Trouble::new("endpoint_half_line",    [0, 4],  |rng, n| endpoint(rng, n, EndpointFault::StopsInStatusLine, 200..2000)),
-    Trouble::new("endpoint_late",         [0, 8],  late_responses),
-    Trouble::new("endpoint_closes_idle",  [0, 3],  |rng, n| endpoint(rng, n, EndpointFault::ClosesIdle, 500..4000)),
-    Trouble::new("endpoint_accepts_late", [0, 3],  |rng, n| endpoint(rng, n, EndpointFault::AcceptsLate, 500..3000)),
-    // Discovery: slow, silent and down, also over a restart; notifications unanswered.
-    Trouble::new("agent_no_answer",       [0, 3],  |rng, _| agent(rng, AgentBehaviour::LeavesNotifications, 200..2000)),
-    Trouble::new("agent_late_answer",     [0, 3],  |rng, _| late_answers(rng)),
-    Trouble::new("agent_breaks",          [0, 3],  |rng, _| agent(rng, AgentBehaviour::BreaksNotifications, 200..2000)),
-    Trouble::new("discovery_down",        [0, 3],  |rng, _| agent(rng, AgentBehaviour::WithholdsLists, 1000..6000)),
-    Trouble::new("lists_torn",            [0, 2],  |rng, _| agent(rng, AgentBehaviour::TearsLists, 500..3000)),
-    // Other clients: idle ones that fill the descriptors, such that send, leave, and come back at once.
-    Trouble::new("crowd_idle",            [0, 4],  |rng, _| crowd(rng, |rng| Crowd::Idle(rng.random_range(60..140)))),
-    Trouble::new("crowd_leaving",         [0, 3],  |rng, _| crowd(rng, |_| Crowd::Leaving)),
+const FAULT_KINDS: &[FaultKind] = &[
+    // Machine: stepped clocks, failing disks and system calls, torn writes, paused processes, busy cores.
+    FaultKind::new("wall_clock_step",       [10, 3], |rng, _| wall_clock_step(rng)),
+    FaultKind::new("disk_error",            [7, 3],  |rng, _| call_fault(Call::FileWrite, error_effect(rng, &DISK_ERRORS), u64::MAX, ms(rng, 50..1500))),
+    FaultKind::new("disk_torn",             [7, 3],  |rng, _| torn_writes(rng)),
+    FaultKind::new("disk_cut_error",        [2, 1],  |rng, _| call_fault(Call::FileTruncate, error_effect(rng, &DISK_ERRORS), u64::MAX, ms(rng, 50..1500))),
+    FaultKind::new("disk_rename_torn",      [2, 1],  |rng, _| torn_renames(rng)),
+    FaultKind::new("disk_short",            [2, 1],  |rng, _| call_fault(Call::FileWrite, Effect::Short(rng.random_range(1..200)), u64::MAX, ms(rng, 50..1500))),
+    FaultKind::new("disk_slow",             [4, 2],  |rng, _| call_fault(Call::FileWrite, Effect::Delay(ms(rng, 5..150)), 3, ms(rng, 50..1500))),
+    // The faults of sockets and the pauses are short: a message whose deadline passes meanwhile must be notified within 0.3 s.
+    FaultKind::new("accept_error",          [5, 2],  |rng, _| call_fault(Call::Accept, error_effect(rng, &ACCEPT_ERRORS), rng.random_range(1..5), ms(rng, 20..250))),
+    FaultKind::new("connect_error",         [2, 1],  |rng, _| call_fault(Call::Connect, error_effect(rng, &CONNECT_ERRORS), u64::MAX, ms(rng, 20..250))),
+    FaultKind::new("socket_error",          [3, 1],  |rng, _| call_fault(Call::Socket, error_effect(rng, &SOCKET_ERRORS), u64::MAX, ms(rng, 20..250))),
+    FaultKind::new("socket_option_error",   [2, 1],  |rng, _| call_fault(Call::SocketOption, error_effect(rng, &OPTION_ERRORS), u64::MAX, ms(rng, 20..250))),
+    FaultKind::new("send_short",            [2, 1],  |rng, _| call_fault(Call::Send, Effect::Short(rng.random_range(1..20)), u64::MAX, ms(rng, 20..250))),
+    FaultKind::new("receive_short",         [2, 1],  |rng, _| call_fault(Call::Receive, Effect::Short(rng.random_range(1..20)), u64::MAX, ms(rng, 20..250))),
+    FaultKind::new("send_slow",             [3, 2],  |rng, _| call_fault(Call::Send, Effect::Delay(ms(rng, 20..150)), 2, ms(rng, 20..250))),
+    FaultKind::new("hold_up_behind_clock",  [3, 4],  |rng, _| call_fault(Call::MonotonicClock, Effect::Delay(ms(rng, 20..150)), 2, ms(rng, 20..250))),
+    FaultKind::new("hold_up",               [8, 6],  |rng, _| Fault::HoldUp(ms(rng, 20..150))),
+    FaultKind::new("busy_cores",            [0, 2],  |rng, _| Fault::BusyCores { threads: rng.random_range(2..9), lasts: ms(rng, 500..3000) }),
+    // Restarts: a single SIGTERM or SIGKILL, kills inside a write, right after a send or during recovery, sequences of signals.
+    FaultKind::new("sigterm",               [7, 1],  |_, _|   Fault::Restart(Restart::Terminated)),
+    FaultKind::new("sigterm_accept_error",  [2, 1],  |_, _|   Fault::Restart(Restart::TerminatedWhileAcceptsFail)),
+    FaultKind::new("sigkill",               [5, 1],  |_, _|   Fault::Restart(Restart::Killed)),
+    FaultKind::new("kill_in_write",         [2, 2],  |rng, _| Fault::Restart(Restart::KilledInWrite(rng.random_range(1..600)))),
+    FaultKind::new("kill_on_torn_disk",     [2, 1],  |rng, _| Fault::Restart(Restart::KilledOnTornDisk(rng.random_range(1..1200)))),
+    FaultKind::new("kill_behind_send",      [4, 3],  |_, _|   Fault::Restart(Restart::KilledBehindSend)),
+    FaultKind::new("signals",               [0, 14], |rng, _| signal_series(rng)),
+    FaultKind::new("reload",                [0, 3],  |_, _|   Fault::Reload),
+    // Endpoints: no response, closed connections, connections reset at once or later, errors, cut and late responses, Retry-After, drains,
+    // connections that are not accepted.
+    FaultKind::new("endpoint_hangs",        [4, 6],  |rng, n| endpoint_fault(rng, n, EndpointFault::Hangs, 200..4000)),
+    FaultKind::new("endpoint_disconnects",  [3, 2],  |rng, n| endpoint_fault(rng, n, EndpointFault::Disconnects, 200..2000)),
+    FaultKind::new("endpoint_rejects",      [3, 3],  rejecting_endpoint),
+    FaultKind::new("endpoint_drains",       [3, 4],  |rng, n| endpoint_fault(rng, n, EndpointFault::Drains, 200..4000)),
+    FaultKind::new("endpoint_resets",       [0, 3],  resetting_endpoint),
+    FaultKind::new("endpoint_500",          [0, 2],  |rng, n| endpoint_fault(rng, n, EndpointFault::RespondsWith(500), 200..1500)),
+    FaultKind::new("endpoint_410",          [0, 1],  |rng, n| endpoint_fault(rng, n, EndpointFault::RespondsWith(410), 50..400)),
+    FaultKind::new("endpoint_504",          [0, 1],  |rng, n| endpoint_fault(rng, n, EndpointFault::RespondsWith(504), 50..600)),
+    FaultKind::new("endpoint_half_line",    [0, 4],  |rng, n| endpoint_fault(rng, n, EndpointFault::StopsInStatusLine, 200..2000)),
+    FaultKind::new("endpoint_late",         [0, 8],  late_responses),
+    FaultKind::new("endpoint_closes_idle",  [0, 3],  |rng, n| endpoint_fault(rng, n, EndpointFault::ClosesIdle, 500..4000)),
+    FaultKind::new("endpoint_accepts_late", [0, 3],  |rng, n| endpoint_fault(rng, n, EndpointFault::AcceptsLate, 500..3000)),
+    // Agents: unanswered, late and broken notifications; discovery down, also across a restart; truncated endpoint lists.
+    FaultKind::new("agent_no_answer",       [0, 3],  |rng, _| agent_fault(rng, AgentBehaviour::LeavesNotifications, 200..2000)),
+    FaultKind::new("agent_late_answer",     [0, 3],  |rng, _| late_notification_answers(rng)),
+    FaultKind::new("agent_breaks",          [0, 3],  |rng, _| agent_fault(rng, AgentBehaviour::BreaksNotifications, 200..2000)),
+    FaultKind::new("discovery_down",        [0, 3],  |rng, _| agent_fault(rng, AgentBehaviour::WithholdsLists, 1000..6000)),
+    FaultKind::new("lists_torn",            [0, 2],  |rng, _| agent_fault(rng, AgentBehaviour::TearsLists, 500..3000)),
+    // Connection floods: idle connections that use up file descriptors, and clients that submit, disconnect and reconnect.
+    FaultKind::new("crowd_idle",            [0, 4],  |rng, _| crowd_fault(rng, |rng| Crowd::Idle(rng.random_range(60..140)))),
+    FaultKind::new("crowd_leaving",         [0, 3],  |rng, _| crowd_fault(rng, |_| Crowd::Leaving)),
 ];
 
-/// Linux's error numbers.
+/// Linux error numbers for the file system: EIO, ENOSPC.
 const DISK_ERRORS: [i32; 2] = [5, 28];
+/// ECONNABORTED, ENFILE, EMFILE, ENOBUFS.
 const ACCEPT_ERRORS: [i32; 4] = [103, 23, 24, 105];
+/// ENFILE, ENOBUFS, ENOMEM.
 const SOCKET_ERRORS: [i32; 3] = [23, 105, 12];
+/// EADDRNOTAVAIL, ENETUNREACH, EAGAIN.
 const CONNECT_ERRORS: [i32; 3] = [99, 101, 11];
+/// ENOBUFS.
 const OPTION_ERRORS: [i32; 1] = [105];
 
-/// Moments of a shutdown about which signals come, behind SIGTERM: the listener closes, nothing new is sent, the end, the last
-/// flush.
-const SHUTDOWN_MOMENTS_MS: [u64; 5] = [0, 450, 2200, 3350, 3500];
-/// Last time of a signal ahead of the kill.
-const LAST_STEP_MS: u64 = 3690;
+/// Times of a shutdown around which signals are sent, after SIGTERM: SIGTERM itself, the listener closes, no new requests are
+/// sent, the end, the last flush.
+const SHUTDOWN_STAGES_MS: [u64; 5] = [0, 450, 2200, 3350, 3500];
+/// Latest time of a signal, just before SIGKILL at 3700 ms.
+const MAX_STEP_MS: u64 = 3690;
 
-/// Draws a trouble of a profile, with so many endpoints; its name and the fault.
+/// Draws a fault of a profile, for this number of endpoints; returns the name of its kind and the fault.
 pub(super) fn draw(rng: &mut ChaCha8Rng, profile: Profile, endpoints: usize) -> (&'static str, Fault) {
-    let drawn = TROUBLES.choose_weighted(rng, |trouble| trouble.weight(profile));
-    let trouble = drawn.unwrap_or(&TROUBLES[0]);
-    (trouble.name, (trouble.draw)(rng, endpoints))
+    let drawn = FAULT_KINDS.choose_weighted(rng, |kind| kind.weight(profile));
+    let kind = drawn.unwrap_or(&FAULT_KINDS[0]);
+    (kind.name, (kind.draw)(rng, endpoints))
 }
 
+/// A duration from a range in milliseconds.
 fn ms(rng: &mut ChaCha8Rng, range: Range<u64>) -> Duration {
     Duration::from_millis(rng.random_range(range))
 }
 
-fn errno(rng: &mut ChaCha8Rng, errors: &[i32]) -> Effect {
+fn error_effect(rng: &mut ChaCha8Rng, errors: &[i32]) -> Effect {
     Effect::Error(errors.choose(rng).copied().unwrap_or(5))
 }
 
-fn calls(call: Call, effect: Effect, count: u64, lasts: Duration) -> Fault {
+fn call_fault(call: Call, effect: Effect, count: u64, lasts: Duration) -> Fault {
     Fault::Calls { call, effect, count, lasts }
 }
 
@@ -123,43 +130,48 @@
 
 fn torn_writes(rng: &mut ChaCha8Rng) -> Fault {
     let torn = Effect::Torn { bytes: rng.random_range(1..900), errno: 5 };
-    calls(Call::FileWrite, torn, rng.random_range(1..4), ms(rng, 50..1500))
+    call_fault(Call::FileWrite, torn, rng.random_range(1..4), ms(rng, 50..1500))
 }
 
 fn torn_renames(rng: &mut ChaCha8Rng) -> Fault {
     let torn = Effect::Torn { bytes: rng.random_range(0..2), errno: 5 };
-    calls(Call::FileRename, torn, 2, ms(rng, 50..1500))
+    call_fault(Call::FileRename, torn, 2, ms(rng, 50..1500))
 }
 
-fn endpoint(rng: &mut ChaCha8Rng, endpoints: usize, fault: EndpointFault, span: Range<u64>) -> Fault {
-    Fault::Endpoint { endpoint: rng.random_range(0..endpoints), fault, lasts: ms(rng, span) }
+fn endpoint_fault(
+    rng: &mut ChaCha8Rng,
+    endpoints: usize,
+    fault: EndpointFault,
+    duration_ms: Range<u64>,
+) -> Fault {
+    Fault::Endpoint { endpoint: rng.random_range(0..endpoints), fault, lasts: ms(rng, duration_ms) }
 }
 
-fn rejects(rng: &mut ChaCha8Rng, endpoints: usize) -> Fault {
+fn rejecting_endpoint(rng: &mut ChaCha8Rng, endpoints: usize) -> Fault {
     let wait = if rng.random_bool(0.3) { ms(rng, 1000..3000) } else { ms(rng, 50..400) };
-    endpoint(rng, endpoints, EndpointFault::Rejects(wait), 200..1500)
+    endpoint_fault(rng, endpoints, EndpointFault::Rejects(wait), 200..1500)
 }
 
-fn resets(rng: &mut ChaCha8Rng, endpoints: usize) -> Fault {
+fn resetting_endpoint(rng: &mut ChaCha8Rng, endpoints: usize) -> Fault {
     let after = if rng.random_bool(0.5) { Duration::ZERO } else { ms(rng, 50..1500) };
-    endpoint(rng, endpoints, EndpointFault::Resets(after), 200..2000)
+    endpoint_fault(rng, endpoints, EndpointFault::Resets(after), 200..2000)
 }
 
 fn late_responses(rng: &mut ChaCha8Rng, endpoints: usize) -> Fault {
-    let behind = if rng.random_bool(0.7) { ms(rng, 0..3) } else { ms(rng, 3..200) };
-    endpoint(rng, endpoints, EndpointFault::RespondsLate(behind), 500..4000)
+    let delay = if rng.random_bool(0.7) { ms(rng, 0..3) } else { ms(rng, 3..200) };
+    endpoint_fault(rng, endpoints, EndpointFault::RespondsLate(delay), 500..4000)
 }
 
-fn agent(rng: &mut ChaCha8Rng, behaviour: AgentBehaviour, span: Range<u64>) -> Fault {
-    Fault::Agent { behaviour, lasts: ms(rng, span) }
+fn agent_fault(rng: &mut ChaCha8Rng, behaviour: AgentBehaviour, duration_ms: Range<u64>) -> Fault {
+    Fault::Agent { behaviour, lasts: ms(rng, duration_ms) }
 }
 
-fn late_answers(rng: &mut ChaCha8Rng) -> Fault {
+fn late_notification_answers(rng: &mut ChaCha8Rng) -> Fault {
     let behaviour = AgentBehaviour::AnswersNotificationsLate(ms(rng, 20..900));
-    agent(rng, behaviour, 200..2000)
+    agent_fault(rng, behaviour, 200..2000)
 }
 
-fn crowd(rng: &mut ChaCha8Rng, kind: fn(&mut ChaCha8Rng) -> Crowd) -> Fault {
+fn crowd_fault(rng: &mut ChaCha8Rng, kind: fn(&mut ChaCha8Rng) -> Crowd) -> Fault {
     Fault::Crowd { crowd: kind(rng), lasts: ms(rng, 500..5000) }
 }
 
@@ -184,12 +196,12 @@
     }
 }
 
-/// A time near one of the moments of a shutdown, or any other.
+/// The time of a step after SIGTERM: in most cases close to a stage of the shutdown, otherwise any time before SIGKILL.
 fn step_time(rng: &mut ChaCha8Rng) -> Duration {
-    let moment = SHUTDOWN_MOMENTS_MS.choose(rng).copied().unwrap_or(0);
-    let near = moment + rng.random_range(0..30);
-    let time = if rng.random_bool(0.6) { near } else { rng.random_range(0..LAST_STEP_MS) };
-    Duration::from_millis(time.min(LAST_STEP_MS))
+    let stage = SHUTDOWN_STAGES_MS.choose(rng).copied().unwrap_or(0);
+    let near = stage + rng.random_range(0..30);
+    let time = if rng.random_bool(0.6) { near } else { rng.random_range(0..MAX_STEP_MS) };
+    Duration::from_millis(time.min(MAX_STEP_MS))
 }
 
 fn signal_step(rng: &mut ChaCha8Rng) -> SignalStep {
--- a/crates/testbench/tests/soak.rs
+++ b/crates/testbench/tests/soak.rs
@@ -1,6 +1,6 @@
-//! A few seeds of troubles, and what a seed decides.
+//! Soak runs of a few seeds, and the determinism of fault plans.
 
-use cloverstile_testbench::soak::{play_seed, FaultPlan, Profile, RunOptions, SeedResult};
+use cloverstile_testbench::soak::{run_seed, FaultPlan, Profile, RunOptions, SeedResult};
 
 #[test]
 fn plan_of_a_seed_is_always_the_same() {
@@ -15,8 +15,8 @@
     }
 }
 
-/// Plays seeds beside each other, and checks that each had a load and broke nothing.
-fn assert_nothing_broken(profile: Profile, seeds: &[u64]) {
+/// Runs seeds in parallel, and checks that each submitted messages and violated no invariant.
+fn assert_no_failures(profile: Profile, seeds: &[u64]) {
     let name = format!("cloverstile-{profile:?}-{}", std::process::id());
     let options = RunOptions {
         program: env!("CARGO_BIN_EXE_cloverstile-testbench").into(),
@@ -25,24 +25,24 @@
         with_faults: true,
         directory: std::env::temp_dir().join(name),
     };
-    let play = |seed: &u64| {
+    let run = |seed: &u64| {
         let (options, seed) = (options.clone(), *seed);
-        std::thread::spawn(move || play_seed(seed, &options).unwrap())
+        std::thread::spawn(move || run_seed(seed, &options).unwrap())
     };
-    let threads: Vec<_> = seeds.iter().map(play).collect();
+    let threads: Vec<_> = seeds.iter().map(run).collect();
     let results: Vec<SeedResult> = threads.into_iter().map(|thread| thread.join().unwrap()).collect();
     for result in results {
-        assert!(!result.is_broken(), "{result:#?}");
+        assert!(!result.has_failed(), "{result:#?}");
         assert!(result.messages > 100, "{result:#?}");
     }
 }
 
 #[test]
 fn seeds_of_machine_faults_violate_no_invariant() {
-    assert_nothing_broken(Profile::MachineFaults, &[4, 18, 21]);
+    assert_no_failures(Profile::MachineFaults, &[4, 18, 21]);
 }
 
 #[test]
 fn seeds_of_the_soak_violate_no_invariant() {
-    assert_nothing_broken(Profile::Soak, &[1, 8, 23]);
+    assert_no_failures(Profile::Soak, &[1, 8, 23]);
 }
