--- a/crates/cli/tests/gateway_harness/manual_endpoint.rs
+++ b/crates/cli/tests/gateway_harness/manual_endpoint.rs
@@ -2,7 +2,7 @@
 
 use super::streams::{next_request, read_request, read_until};
 use super::EVENT_TIMEOUT;
-use std::io::Write;
+use std::io::{Error, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -20,18 +20,34 @@
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        socket.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         ManualEndpoint { socket, address }
     }
 
     /// Accepts the next connection, which must arrive within [`EVENT_TIMEOUT`].
     pub fn accept(&self) -> TcpStream {
-        let stream: TcpStream = self.socket.accept().expect("no connection arrived in time").0.into();
+        let stream = self.next_connection().expect("no connection arrived in time");
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream
     }
 
+    /// Waits at most [`EVENT_TIMEOUT`] for the next connection. On Linux, an accept with a timeout fails with `Interrupted`
+    /// after the process was stopped and continued, even without a signal handler; it is tried again in the time that remains.
+    fn next_connection(&self) -> Result<TcpStream, Error> {
+        let end = Instant::now() + EVENT_TIMEOUT;
+        loop {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(ErrorKind::TimedOut.into());
+            }
+            self.socket.set_read_timeout(Some(remaining.max(Duration::from_millis(1))))?;
+            match self.socket.accept() {
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                result => return result.map(|(socket, _)| socket.into()),
+            }
+        }
+    }
+
     /// Fills the backlog, so that no connection is established until the next [`ManualEndpoint::accept`].
     pub fn fill_backlog(&self) -> TcpStream {
         TcpStream::connect(self.address).unwrap()
@@ -57,8 +73,8 @@
         let requests = Arc::new(Mutex::new(Vec::new()));
         let received = requests.clone();
         std::thread::spawn(move || {
-            while let Ok((socket, _)) = self.socket.accept() {
-                let (stream, received) = (TcpStream::from(socket), received.clone());
+            while let Ok(stream) = self.next_connection() {
+                let received = received.clone();
                 std::thread::spawn(move || respond_on(stream, &received));
             }
         });
