--- a/crates/testbench/src/benchmark.rs
+++ b/crates/testbench/src/benchmark.rs
@@ -1,5 +1,6 @@
-//! What a gateway costs: the cryptographic path against its private-key operations alone, messages a second over
-//! sockets, memory. All that is compared is measured in one run.
+//! Benchmarks of one gateway: CPU time of the cryptographic path relative to its private-key operations alone,
+//! throughput over sockets, and memory. Compared values are measured in the same run, so that both see the same machine
+//! load.
 
 mod crypto_path;
 mod memory;
--- a/crates/testbench/src/benchmark/crypto_path.rs
+++ b/crates/testbench/src/benchmark/crypto_path.rs
@@ -1,4 +1,4 @@
-//! The cryptographic path of a message through one gateway, without sockets, against the least that it can cost.
+//! CPU time of a message's cryptographic path through one gateway, without sockets, and its lower bound.
 
 use aws_lc_rs::rand::SystemRandom;
 use aws_lc_rs::rsa::{Pkcs1PrivateDecryptingKey, Pkcs1PublicEncryptingKey, PrivateDecryptingKey};
@@ -13,37 +13,37 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Bytes of an RSA-2048 block.
-const RSA_BLOCK: usize = 256;
-/// Length of the content key that a message is encrypted with.
+/// Length of an RSA-2048 signature or ciphertext, in bytes.
+const RSA_BLOCK_LENGTH: usize = 256;
+/// Stand-in for the symmetric key that a message's content is encrypted with (AES-128).
 const CONTENT_KEY: [u8; 16] = [7; 16];
-/// First and last day on which the benchmark's certificates are valid.
+/// First and last day of the validity of the generated certificates: year, month, day.
 const VALIDITY: [(i32, u8, u8); 2] = [(2020, 1, 1), (2120, 1, 1)];
 
-/// CPU time of the path through one gateway.
+/// Speed of the path through one gateway, per core.
 #[derive(Clone, Debug, Serialize)]
 pub struct CryptoPathCost {
-    /// Messages measured.
+    /// Number of messages measured.
     pub messages: u32,
-    /// Bytes of each one's content.
+    /// Content length of each message, in bytes.
     pub body: usize,
-    /// Messages a second of one core: opened, composed, receipt verified, receipt signed.
+    /// Messages per second of CPU time: opened, composed for the partner, partner receipt verified, own receipt signed.
     pub path_per_cpu_second: f64,
-    /// The same for one decryption and two signatures with RSA-2048 alone.
+    /// Upper bound of the above: one decryption and two signatures with RSA-2048 alone.
     pub limit_per_cpu_second: f64,
-    /// The first over the second.
+    /// `path_per_cpu_second` divided by `limit_per_cpu_second`; at most about 1.
     pub ratio: f64,
-    /// Milliseconds of CPU for each part, by name.
+    /// Milliseconds of CPU time per message for each part of the path, by name.
     pub parts_ms: Vec<(&'static str, f64)>,
 }
 
-/// CPU time of this thread.
+/// CPU time consumed by this thread so far.
 fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Runs something and adds the CPU time that it took.
+/// Runs `work` and adds the CPU time that it took to `spent`.
 fn timed<T>(spent: &mut Duration, work: impl FnOnce() -> T) -> T {
     let before = thread_cpu_time();
     let result = work();
@@ -51,7 +51,8 @@
     result
 }
 
-struct Stations {
+/// Identities of the three parties: the client submits to the gateway, which forwards to the partner.
+struct Parties {
     client: Identity,
     gateway: Identity,
     /// The gateway's private key (PKCS #8).
@@ -59,20 +60,20 @@
     partner: Identity,
 }
 
-impl Stations {
-    fn new() -> Result<Stations, As2Error> {
+impl Parties {
+    fn new() -> Result<Parties, As2Error> {
         let [from, until] = VALIDITY;
         let generate = |name: &str| generate_identity(name, NewKey::Rsa2048, from, until);
-        let station = |name: &str| {
+        let identity = |name: &str| {
             let (key, certificate) = generate(name)?;
             Identity::from_pem(name, &key, &certificate)
         };
         let (key, certificate) = generate("gateway")?;
-        Ok(Stations {
-            client: station("client")?,
+        Ok(Parties {
+            client: identity("client")?,
             gateway: Identity::from_pem("gateway", &key, &certificate)?,
             gateway_key: decode_pem(&key)?,
-            partner: station("partner")?,
+            partner: identity("partner")?,
         })
     }
 }
@@ -86,17 +87,17 @@
     part.decoded()
 }
 
-fn addressee(identity: &Identity) -> Recipient<'_> {
+fn recipient(identity: &Identity) -> Recipient<'_> {
     Recipient { name: &identity.name, certificate: &identity.certificate }
 }
 
-fn receipt(
+fn positive_receipt(
     original_id: &str,
     from: &Identity,
     to: &Identity,
     opened: &OpenedMessage,
 ) -> Result<ComposedMessage, As2Error> {
-    let facts = ReceiptContent {
+    let content = ReceiptContent {
         receipt_id: "receipt",
         to: &to.name,
         original_id,
@@ -105,10 +106,10 @@
         text: "The message was delivered.",
         final_outcome: Some(Outcome::Delivered),
     };
-    compose_receipt(&facts, from, Some(Digest::Sha256))
+    compose_receipt(&content, from, Some(Digest::Sha256))
 }
 
-/// The private-key operations that no gateway can do without.
+/// The private-key operations that every gateway has to perform for a message, whatever its implementation.
 struct MinimalOperations {
     signing: RsaKeyPair,
     decrypting: Pkcs1PrivateDecryptingKey,
@@ -131,12 +132,12 @@
         Ok(MinimalOperations { signing, decrypting, secret, random: SystemRandom::new() })
     }
 
-    /// One decryption and two signatures.
+    /// Performs one decryption and two signatures.
     fn run(&self) -> Result<(), As2Error> {
-        let mut plain = [0; RSA_BLOCK];
+        let mut plain = [0; RSA_BLOCK_LENGTH];
         self.decrypting.decrypt(&self.secret, &mut plain).map_err(unusable_key)?;
         for _ in 0..2 {
-            let mut signature = [0; RSA_BLOCK];
+            let mut signature = [0; RSA_BLOCK_LENGTH];
             self.signing
                 .sign(&RSA_PKCS1_SHA256, &self.random, b"what is signed", &mut signature)
                 .map_err(unusable_key)?;
@@ -145,7 +146,7 @@
     }
 }
 
-/// CPU time of each part of the path.
+/// CPU time of each part of the path, summed over all messages.
 #[derive(Default)]
 struct PathTimes {
     open: Duration,
@@ -160,9 +161,9 @@
     }
 }
 
-/// Takes one submitted message through the gateway.
-fn run_path(stations: &Stations, submitted: &ComposedMessage, times: &mut PathTimes) -> Result<(), As2Error> {
-    let Stations { client, gateway, partner, .. } = stations;
+/// Takes one submitted message through the gateway and adds the CPU time of each part to `times`.
+fn run_path(parties: &Parties, submitted: &ComposedMessage, times: &mut PathTimes) -> Result<(), As2Error> {
+    let Parties { client, gateway, partner, .. } = parties;
     let (envelope, opened) = timed(&mut times.open, || {
         let envelope = Envelope::parse(&submitted.headers)?;
         let (headers, body) = (&submitted.headers, &submitted.body);
@@ -171,38 +172,39 @@
     })?;
     let message_id = &envelope.message_id;
     let sent = timed(&mut times.compose, || {
-        let onward = OutgoingMessage { message_id, payload: &opened.payload, subject: None };
-        compose(&onward, gateway, addressee(partner), &Security::default())
+        let forwarded = OutgoingMessage { message_id, payload: &opened.payload, subject: None };
+        compose(&forwarded, gateway, recipient(partner), &Security::default())
     })?;
-    // The partner's own work does not count.
+    // The partner's work is not part of the gateway's path, so it is not timed.
     let requested = Envelope::parse(&sent.headers)?.receipt;
     let received = open(&sent.headers, &sent.body, partner, &gateway.certificate, requested.as_ref())?;
-    let returned = receipt(message_id, partner, gateway, &received)?;
+    let returned = positive_receipt(message_id, partner, gateway, &received)?;
     timed(&mut times.verify_receipt, || {
         let proof = read_receipt(&returned.headers, &returned.body, &partner.certificate)?;
         proof.check(message_id, &sent.mic, true)
     })?;
-    timed(&mut times.sign_receipt, || receipt(message_id, gateway, client, &opened))?;
+    timed(&mut times.sign_receipt, || positive_receipt(message_id, gateway, client, &opened))?;
     Ok(())
 }
 
-/// Measures the path and its limit in turns, so that a busy machine affects both.
+/// Measures the path and its upper bound alternately, message by message, so that other load on the machine affects
+/// both.
 ///
 /// # Errors
-/// A key can't be made, or a message does not pass.
+/// A key can't be generated, or a message or receipt can't be composed, opened or verified.
 pub fn measure_crypto_path(messages: u32, body: usize) -> Result<CryptoPathCost, As2Error> {
-    let stations = Stations::new()?;
+    let parties = Parties::new()?;
     let payload = Part {
         headers: Headers::new().with("Content-Type", "application/octet-stream"),
         body: vec![b'x'; body],
     };
     let outgoing = OutgoingMessage { message_id: "m@client", payload: &payload, subject: None };
-    let to_gateway = addressee(&stations.gateway);
-    let submitted = compose(&outgoing, &stations.client, to_gateway, &Security::default())?;
-    let minimal = MinimalOperations::new(&stations.gateway_key)?;
+    let to_gateway = recipient(&parties.gateway);
+    let submitted = compose(&outgoing, &parties.client, to_gateway, &Security::default())?;
+    let minimal = MinimalOperations::new(&parties.gateway_key)?;
     let (mut times, mut limit) = (PathTimes::default(), Duration::ZERO);
     for _ in 0..messages {
-        run_path(&stations, &submitted, &mut times)?;
+        run_path(&parties, &submitted, &mut times)?;
         timed(&mut limit, || minimal.run())?;
     }
     let count = f64::from(messages);
--- a/crates/testbench/src/benchmark/memory.rs
+++ b/crates/testbench/src/benchmark/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a gateway process.
+//! Memory use of a gateway process per held message and per idle connection.
 
 use super::workload::scenario;
 use crate::process::GatewayProcess;
@@ -16,45 +16,45 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Bytes of each held message's content.
+/// Content length of each held message, in bytes.
 const CONTENT_LENGTH: usize = 400;
-/// A gateway has accepted new connections within this time.
+/// Wait after opening connections, within which the gateway has accepted all of them.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// Accepted messages are counted in this interval ...
+/// Interval at which accepted messages are counted ...
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// ... at most so often.
+/// ... at most this many times (30 s in all).
 const MAX_POLLS: u32 = 300;
-/// The partner does not answer for this time, longer than the measurement.
+/// Time for which the partner does not respond; longer than the measurement.
 const SILENCE: Duration = Duration::from_secs(600);
 
-/// What a gateway process holds.
+/// Memory use of a gateway process.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemoryCost {
-    /// Messages held.
+    /// Number of messages held.
     pub held: u32,
-    /// Bytes of each one's content.
+    /// Content length of each message, in bytes.
     pub body: usize,
-    /// Bytes of memory for each of them.
+    /// Resident memory per held message, in bytes.
     pub bytes_per_held_message: f64,
-    /// Open, idle connections of clients.
+    /// Number of idle client connections.
     pub connections: usize,
-    /// Bytes of memory for each of them.
+    /// Resident memory per idle connection, in bytes.
     pub bytes_per_connection: f64,
 }
 
-/// Resident memory of a process in bytes.
+/// Resident memory of a process, in bytes; zero if the kernel reports none.
 fn resident_bytes(pid: u32) -> std::io::Result<f64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
-    let kilobytes: f64 = line.trim().trim_end_matches("kB").trim().parse().unwrap_or(0.0);
-    Ok(kilobytes * 1024.0)
+    let kibibytes: f64 = line.trim().trim_end_matches("kB").trim().parse().unwrap_or(0.0);
+    Ok(kibibytes * 1024.0)
 }
 
-/// Measures the memory of a gateway process that holds messages for a partner that never answers, and of its idle
+/// Measures the memory that a gateway process needs for messages held for an unresponsive partner, and for idle
 /// connections.
 ///
 /// # Errors
-/// The test cluster, the gateway or the client fails.
+/// The test cluster, the gateway or the client fails, or the memory use can't be read.
 pub fn measure_memory(
     held: u32,
     connections: usize,
@@ -69,36 +69,40 @@
     let text = std::fs::read_to_string(&cluster.settings_files[0])?;
     std::fs::write(&cluster.settings_files[0], text.replace("connections = 4000", "connections = 20000"))?;
     let started = command.start(&cluster.settings_files[0], 0)?;
-    let of_connections = bytes_of_connections(&started.process, started.address, connections)?;
+    let connection_growth = measure_connection_growth(&started.process, started.address, connections)?;
     let fault = Fault::Silent;
     cluster.partners.send(PartnerCommand::Fault { partner: 0, fault, group: None, duration: SILENCE });
     let gateways = cluster.gateway_set(vec![started.address]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let [mut plan, _] = scenario.plan_messages(&mut rng, 1, recorder.now());
     plan.iter_mut().for_each(|planned| planned.body = vec![b'x'; CONTENT_LENGTH]);
-    let of_messages = bytes_of_messages(&cluster, &gateways, &started.process, plan, &recorder)?;
+    let message_growth = measure_message_growth(&cluster, &gateways, &started.process, plan, &recorder)?;
     Ok(MemoryCost {
         held,
         body: CONTENT_LENGTH,
-        bytes_per_held_message: of_messages / f64::from(held),
+        bytes_per_held_message: message_growth / f64::from(held),
         connections,
-        bytes_per_connection: of_connections / connections as f64,
+        bytes_per_connection: connection_growth / connections as f64,
     })
 }
 
-/// How much a process grows by so many idle connections.
-fn bytes_of_connections(process: &GatewayProcess, address: SocketAddr, count: usize) -> std::io::Result<f64> {
+/// Opens idle connections and returns by how many bytes the process grows.
+fn measure_connection_growth(
+    process: &GatewayProcess,
+    address: SocketAddr,
+    count: usize,
+) -> std::io::Result<f64> {
     let before = resident_bytes(process.id())?;
-    let mut open = Vec::new();
+    let mut streams = Vec::new();
     for _ in 0..count {
-        open.push(TcpStream::connect(address)?);
+        streams.push(TcpStream::connect(address)?);
     }
     std::thread::sleep(SETTLE_TIME);
     Ok(resident_bytes(process.id())? - before)
 }
 
-/// How much a process grows by holding the messages of a plan.
-fn bytes_of_messages(
+/// Submits the planned messages and returns by how many bytes the process has grown once all are accepted.
+fn measure_message_growth(
     cluster: &TestCluster,
     gateways: &GatewaySet,
     process: &GatewayProcess,
@@ -107,11 +111,11 @@
 ) -> Result<f64, RunError> {
     let count = plan.len();
     let progress = Progress::default();
-    let empty = resident_bytes(process.id())?;
+    let before = resident_bytes(process.id())?;
     std::thread::scope(|scope| {
         let client = scope.spawn(|| {
-            let habits = ClientBehaviour { deferred_receipts: true, ..ClientBehaviour::default() };
-            Client::new(&cluster.clients[0], habits, gateways, plan, recorder.clone(), &progress)?.run()
+            let behaviour = ClientBehaviour { deferred_receipts: true, ..ClientBehaviour::default() };
+            Client::new(&cluster.clients[0], behaviour, gateways, plan, recorder.clone(), &progress)?.run()
         });
         for _ in 0..MAX_POLLS {
             let lines = recorder.lines();
@@ -122,9 +126,9 @@
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        let full = resident_bytes(process.id());
+        let after = resident_bytes(process.id());
         progress.stop.store(true, Ordering::Relaxed);
         client.join().unwrap_or_else(|_| Err(std::io::Error::other("the client panicked")))?;
-        Ok(full? - empty)
+        Ok(after? - before)
     })
 }
--- a/crates/testbench/src/benchmark/sockets.rs
+++ b/crates/testbench/src/benchmark/sockets.rs
@@ -1,4 +1,4 @@
-//! Throughput of one gateway over sockets.
+//! Throughput of one gateway over loopback sockets.
 
 use super::workload::scenario;
 use crate::scenario_run::RunError;
@@ -12,23 +12,23 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What one gateway does over sockets.
+/// Throughput and CPU shares of one gateway over sockets.
 #[derive(Clone, Debug, Serialize)]
 pub struct SocketCost {
     /// Number of messages.
     pub messages: u32,
-    /// Threads for cryptography.
+    /// Number of cryptography threads; with 0, the event loop's thread does this work.
     pub workers: usize,
-    /// Messages a second from the first submission to the last answer.
+    /// Messages per second, from the first submission to the last answer.
     pub messages_per_second: f64,
-    /// Share of the loop's working time that the engine and the policy take.
+    /// Share of the event loop's busy time spent in the engine and the policy.
     #[serde(rename = "module_share")]
     pub decision_share: f64,
-    /// Share of the wall time in which the loop worked.
+    /// Share of the wall time in which the event loop was busy.
     pub loop_busy: f64,
 }
 
-/// Submits messages as fast as they are accepted.
+/// Measures the throughput of one gateway while a client submits messages as fast as they are accepted.
 ///
 /// # Errors
 /// The test cluster, the gateway or the client fails.
@@ -40,32 +40,32 @@
     let recorder = Recorder::default();
     let cluster = TestCluster::build(folder, cluster_spec, recorder.clone(), 1)?;
     let (config, directory) = load(&cluster.settings_files[0]).map_err(TestClusterError::Load)?;
-    let (started, start) = std::sync::mpsc::channel();
+    let (started_sender, started_receiver) = std::sync::mpsc::channel();
     let gateway = std::thread::spawn(move || {
         let mut service = Service::start(config, directory, None, 1).ok()?;
-        let _ = started.send((service.address(), service.shutdown_handle()));
+        let _ = started_sender.send((service.address(), service.shutdown_handle()));
         service.run().ok()
     });
-    let (address, stopper) = start.recv().map_err(|_| TestClusterError::Start(0))?;
+    let (address, shutdown) = started_receiver.recv().map_err(|_| TestClusterError::Start(0))?;
     let gateways = cluster.gateway_set(vec![address]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let [plan, _] = scenario.plan_messages(&mut rng, 1, recorder.now());
     let progress = Progress::default();
-    let habits = ClientBehaviour { deferred_receipts: true, ..ClientBehaviour::default() };
-    Client::new(&cluster.clients[0], habits, &gateways, plan, recorder.clone(), &progress)?.run()?;
-    stopper.shut_down();
+    let behaviour = ClientBehaviour { deferred_receipts: true, ..ClientBehaviour::default() };
+    Client::new(&cluster.clients[0], behaviour, &gateways, plan, recorder.clone(), &progress)?.run()?;
+    shutdown.shut_down();
     let elapsed = time_to_last_answer(&recorder.lines());
-    let ending = gateway.join().ok().flatten().ok_or(TestClusterError::Start(0))?;
+    let summary = gateway.join().ok().flatten().ok_or(TestClusterError::Start(0))?;
     Ok(SocketCost {
         messages,
         workers,
         messages_per_second: f64::from(messages) / elapsed.as_secs_f64(),
-        decision_share: ending.decision_time.as_secs_f64() / ending.busy_time.as_secs_f64(),
-        loop_busy: ending.busy_time.as_secs_f64() / elapsed.as_secs_f64(),
+        decision_share: summary.decision_time.as_secs_f64() / summary.busy_time.as_secs_f64(),
+        loop_busy: summary.busy_time.as_secs_f64() / elapsed.as_secs_f64(),
     })
 }
 
-/// From the first submission to the last answer.
+/// Time from the first submission to the last answer; at least one microsecond, since it is a divisor.
 fn time_to_last_answer(lines: &[RecordLine]) -> Duration {
     let first = lines.iter().find(|line| matches!(line.event, ObservedEvent::Submitted { .. }));
     let last = lines.iter().rev().find(|line| matches!(line.event, ObservedEvent::OutcomeReceived { .. }));
--- a/crates/testbench/src/bin/cloverstile-testbench/benchmark.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/benchmark.rs
@@ -1,4 +1,4 @@
-//! `cloverstile-testbench bench`: what a gateway costs.
+//! The subcommand `bench`: CPU, throughput and memory of one gateway.
 
 use clap::Args;
 use cloverstile_testbench::benchmark::{measure_crypto_path, measure_memory, measure_sockets};
@@ -6,11 +6,11 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Sizes of content with which the path without sockets is measured, in bytes.
+/// Content sizes for the measurement of the cryptographic path, in bytes.
 const CONTENT_SIZES: [usize; 2] = [400, 20_000];
-/// Numbers of cryptography threads with which throughput is measured.
+/// Numbers of cryptography threads for the measurement of throughput.
 const WORKERS: [usize; 2] = [0, 2];
-/// Idle connections for the measurement of memory.
+/// Number of idle connections for the measurement of memory per connection.
 const IDLE_CONNECTIONS: usize = 4000;
 
 /// What is measured.
@@ -27,33 +27,33 @@
     held: u32,
 }
 
-fn print(name: &str, cost: &impl Serialize) -> Result<(), String> {
+fn print_json(name: &str, cost: &impl Serialize) -> Result<(), String> {
     let cost = serde_json::to_value(cost).map_err(|error| error.to_string())?;
     println!("{}", serde_json::json!({ name: cost }));
     Ok(())
 }
 
-fn folder(name: &str) -> PathBuf {
+fn temporary_folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("cloverstile-bench-{}-{name}", std::process::id()))
 }
 
 impl BenchmarkCommand {
-    /// Measures and prints one line of JSON for each part.
+    /// Runs all measurements and prints one line of JSON for each. Always returns true, since no invariant is checked.
     pub fn measure(&self) -> Result<bool, String> {
         for size in CONTENT_SIZES {
             let cost = measure_crypto_path(self.messages, size).map_err(|error| error.to_string())?;
-            print("path", &cost)?;
+            print_json("path", &cost)?;
         }
         for workers in WORKERS {
-            let cost = measure_sockets(self.socket_messages, workers, &folder("sockets"))
+            let cost = measure_sockets(self.socket_messages, workers, &temporary_folder("sockets"))
                 .map_err(|error| error.to_string())?;
-            print("sockets", &cost)?;
+            print_json("sockets", &cost)?;
         }
         let program = std::env::current_exe().map_err(|error| error.to_string())?;
         let command = GatewayCommand { program, log: "error".into() };
-        let cost = measure_memory(self.held, IDLE_CONNECTIONS, &folder("memory"), &command)
+        let cost = measure_memory(self.held, IDLE_CONNECTIONS, &temporary_folder("memory"), &command)
             .map_err(|error| error.to_string())?;
-        print("memory", &cost)?;
+        print_json("memory", &cost)?;
         Ok(true)
     }
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/experiment.rs
@@ -1,4 +1,4 @@
-//! `cloverstile-testbench experiment` and `report`.
+//! The subcommands `experiment`, which runs a grid of simulations, and `report`, which renders its record as HTML.
 
 use crate::progress;
 use crate::simulate::load_scenario;
@@ -33,7 +33,8 @@
 }
 
 impl ExperimentCommand {
-    /// Plays the experiment; true if the planner violated no invariant.
+    /// Runs the experiment and writes its record. Returns true if the planner violated no invariant; other policies
+    /// may.
     pub fn run(&self) -> Result<bool, String> {
         let name = self.file.display();
         let text = std::fs::read_to_string(&self.file).map_err(|error| format!("{name}: {error}"))?;
@@ -99,7 +100,7 @@
 }
 
 impl ReportCommand {
-    /// Writes the page.
+    /// Writes the HTML page and its plots into the folder of the record.
     pub fn write(&self) -> Result<bool, String> {
         let page = html_report::write_report(&self.folder).map_err(|error| error.to_string())?;
         println!("{}: {} bytes", self.folder.join(PAGE_FILE).display(), page.len());
--- a/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/fleet.rs
@@ -1,4 +1,4 @@
-//! `cloverstile-testbench fleet`: many gateways at once.
+//! The subcommand `fleet`: load balance scenarios with many gateways, as processes or simulated.
 
 use crate::scenario_files;
 use clap::{Args, Subcommand};
@@ -77,7 +77,8 @@
 }
 
 impl FleetCommand {
-    /// Plays it; true if the policy violated no invariant.
+    /// Runs the subcommand. Returns true if the gateways' own policy violated no invariant; violations by baselines
+    /// don't count.
     pub fn run(&self) -> Result<bool, String> {
         match self {
             FleetCommand::Spread(command) => command.run(),
@@ -85,33 +86,34 @@
     }
 }
 
-/// The policy, every choice of endpoint with additive increase, and every limiter with a random choice.
-fn all_deciders() -> Vec<ClientPolicy> {
-    let choices =
-        EndpointSelection::ALL.into_iter().map(|choice| ClientPolicy::Baseline(choice, Limiter::Aimd));
+/// All policies that are compared: the gateways' own, every endpoint selection with the AIMD limiter, and every other
+/// limiter with random selection.
+fn all_policies() -> Vec<ClientPolicy> {
+    let selections =
+        EndpointSelection::ALL.into_iter().map(|selection| ClientPolicy::Baseline(selection, Limiter::Aimd));
     let limiters = Limiter::ALL.into_iter().filter(|limiter| *limiter != Limiter::Aimd);
     let limiters = limiters.map(|limiter| ClientPolicy::Baseline(EndpointSelection::Random, limiter));
-    std::iter::once(ClientPolicy::Delivery).chain(choices).chain(limiters).collect()
+    std::iter::once(ClientPolicy::Delivery).chain(selections).chain(limiters).collect()
 }
 
-fn parse_deciders(name: &str) -> Result<Vec<ClientPolicy>, String> {
+fn parse_policies(name: &str) -> Result<Vec<ClientPolicy>, String> {
     if name == "all" {
-        return Ok(all_deciders());
+        return Ok(all_policies());
     }
     if name == "module" {
         return Ok(vec![ClientPolicy::Delivery]);
     }
-    let (choice, limiter) = name.split_once('+').unwrap_or((name, "aimd"));
-    let choice = EndpointSelection::ALL.into_iter().find(|known| known.name() == choice);
+    let (selection, limiter) = name.split_once('+').unwrap_or((name, "aimd"));
+    let selection = EndpointSelection::ALL.into_iter().find(|known| known.name() == selection);
     let limiter = Limiter::ALL.into_iter().find(|known| known.name() == limiter);
-    if let (Some(choice), Some(limiter)) = (choice, limiter) {
-        return Ok(vec![ClientPolicy::Baseline(choice, limiter)]);
+    if let (Some(selection), Some(limiter)) = (selection, limiter) {
+        return Ok(vec![ClientPolicy::Baseline(selection, limiter)]);
     }
-    let choices: Vec<&str> = EndpointSelection::ALL.into_iter().map(EndpointSelection::name).collect();
+    let selections: Vec<&str> = EndpointSelection::ALL.into_iter().map(EndpointSelection::name).collect();
     let limiters: Vec<&str> = Limiter::ALL.into_iter().map(Limiter::name).collect();
     Err(format!(
-        "--who {name}: allowed are module, all, or one of {} with + and one of {}",
-        choices.join(", "),
+        "--who {name}: expected module, all, or SELECTION+LIMITER with SELECTION one of {} and LIMITER one of {}",
+        selections.join(", "),
         limiters.join(", ")
     ))
 }
@@ -122,8 +124,8 @@
             return Ok(program.clone());
         }
         let own = std::env::current_exe().map_err(|error| error.to_string())?;
-        let beside = own.with_file_name("cloverstile");
-        Ok(if beside.is_file() { beside } else { own })
+        let sibling = own.with_file_name("cloverstile");
+        Ok(if sibling.is_file() { sibling } else { own })
     }
 
     fn load_scenario(&self) -> Result<LoadBalanceScenario, String> {
@@ -137,47 +139,49 @@
 
     fn run(&self) -> Result<bool, String> {
         let scenario = self.load_scenario()?;
-        let mut deciders = Vec::new();
+        let mut policies = Vec::new();
         for name in &self.deciders {
-            deciders.extend(parse_deciders(name)?);
+            policies.extend(parse_policies(name)?);
         }
-        if !self.simulate && deciders != [ClientPolicy::Delivery] {
-            return Err("--who: real processes decide by the module alone; add --emulate for others".into());
+        if !self.simulate && policies != [ClientPolicy::Delivery] {
+            return Err(
+                "--who: gateway processes support only module; add --emulate for other policies".into()
+            );
         }
-        let mut clean = true;
+        let mut passed = true;
         let mut table = Table::new();
         table.load_preset(UTF8_BORDERS_ONLY);
         table.set_header(HEADINGS);
-        for decider in deciders {
-            let reports = self.run_seeds(&scenario, decider)?;
+        for policy in policies {
+            let reports = self.run_seeds(&scenario, policy)?;
             let mean = LoadReport::mean(&reports);
-            clean &= decider != ClientPolicy::Delivery || mean.violations == 0;
+            passed &= policy != ClientPolicy::Delivery || mean.violations == 0;
             if self.json {
-                println!("{}", json_line(&decider.name(), &mean, format!("{} seeds", reports.len()).into()));
+                println!("{}", json_line(&policy.name(), &mean, format!("{} seeds", reports.len()).into()));
             }
-            table.add_row(row(&decider.name(), reports.len(), &mean));
+            table.add_row(row(&policy.name(), reports.len(), &mean));
         }
         if !self.json {
             println!("{table}");
         }
-        Ok(clean)
+        Ok(passed)
     }
 
-    /// Plays all seeds of one decider and prints what is wanted of each.
+    /// Runs all seeds of one policy and prints the requested details of each run.
     fn run_seeds(
         &self,
         scenario: &LoadBalanceScenario,
-        decider: ClientPolicy,
+        policy: ClientPolicy,
     ) -> Result<Vec<LoadReport>, String> {
         let mut reports = Vec::new();
         for seed in self.seed..self.seed + self.seeds.max(1) {
-            let began = Instant::now();
+            let started = Instant::now();
             let run = if self.simulate {
-                simulate_load_balance(scenario, decider, seed)
+                simulate_load_balance(scenario, policy, seed)
             } else {
                 run_fleet(scenario, &self.program()?, seed).map_err(|error| error.to_string())?
             };
-            let report = LoadReport::new(scenario, &run, seed, began.elapsed());
+            let report = LoadReport::new(scenario, &run, seed, started.elapsed());
             if self.partners {
                 print_partners(scenario, &run, seed);
             }
@@ -185,7 +189,7 @@
                 print_limits(&run);
             }
             if self.json {
-                println!("{}", json_line(&decider.name(), &report, seed.into()));
+                println!("{}", json_line(&policy.name(), &report, seed.into()));
             }
             reports.push(report);
         }
@@ -193,7 +197,7 @@
     }
 }
 
-/// Prints how even the load of each partner is.
+/// Prints the load balance metrics of each partner.
 fn print_partners(scenario: &LoadBalanceScenario, run: &LoadBalanceRun, seed: u64) {
     for partner in 0..run.record.partners.len() {
         let record = run.record.for_partner(partner);
@@ -212,14 +216,14 @@
     }
 }
 
-/// Requests at a partner in one second.
+/// Requests at a partner in one second, by outcome. Failed requests are not counted.
 #[derive(Default)]
 struct RequestCount {
     served: u32,
     rejected: u32,
 }
 
-/// Prints each partner that has a limit, by second.
+/// Prints the use of rate limits, by partner and second.
 fn print_limits(run: &LoadBalanceRun) {
     let mut counts: BTreeMap<(usize, u64), RequestCount> = BTreeMap::new();
     for call in &run.record.calls {
@@ -231,29 +235,29 @@
             Outcome::Failed => {}
         }
     }
-    let uses = limit_use(&run.record);
+    let limit_uses = limit_use(&run.record);
     for ((partner, second), RequestCount { served, rejected }) in counts {
         let Some(limit) = run.record.partners[partner].limit_at(Duration::from_secs(second)) else {
             continue;
         };
         let possible =
-            uses.get(&(partner, second)).map_or("-".into(), |used| format!("{:.0}", used.possible));
+            limit_uses.get(&(partner, second)).map_or("-".into(), |used| format!("{:.0}", used.possible));
         println!(
             "partner {partner} second {second}: limit {limit:.0} served {served} rejected {rejected} possible {possible}"
         );
     }
 }
 
-fn json_line(decider: &str, report: &LoadReport, seed: serde_json::Value) -> serde_json::Value {
+fn json_line(policy: &str, report: &LoadReport, seed: serde_json::Value) -> serde_json::Value {
     let mut line = serde_json::json!(report);
-    line["who"] = decider.into();
+    line["who"] = policy.into();
     line["seed"] = seed;
     line
 }
 
-fn row(decider: &str, seeds: usize, report: &LoadReport) -> Vec<String> {
+fn row(policy: &str, seeds: usize, report: &LoadReport) -> Vec<String> {
     vec![
-        decider.to_owned(),
+        policy.to_owned(),
         seeds.to_string(),
         format!("{:.3}", report.value_ratio),
         format!("{:.2}", report.peak_over_mean),
@@ -261,7 +265,7 @@
         format!("{:.2}", report.random_peak_over_mean),
         format!("{:.3}", report.idle_share),
         format!("{:.3}", report.limit_use_while_waiting),
-        format!("{:.2}", report.herding),
+        format!("{:.2}", report.herding_ratio),
         format!("{:.2}", report.new_connections_per_message),
         format!("{:.3}", report.rejections_per_message),
         format!("{:.2}", report.requests_per_message),
--- a/crates/testbench/src/bin/cloverstile-testbench/progress.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/progress.rs
@@ -1,8 +1,8 @@
-//! Progress bars.
+//! Progress bars of long commands.
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-/// A bar that counts `unit` up to `length`; hidden where JSON is printed.
+/// Creates a progress bar that counts up to `length` in the given unit. `hidden` suppresses it, for JSON output.
 pub fn bar(hidden: bool, length: u64, unit: &str) -> ProgressBar {
     let bar = if hidden { ProgressBar::hidden() } else { ProgressBar::new(length) };
     let template = format!("{{bar:40}} {{pos}}/{{len}} {unit}, {{elapsed}} elapsed, {{eta}} to go");
--- a/crates/testbench/src/bin/cloverstile-testbench/scale.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scale.rs
@@ -1,15 +1,15 @@
-//! `cloverstile-testbench scale`: speed, memory and the cost of a decision as endpoints grow.
+//! The subcommand `scale`: simulation speed, memory and cost per policy turn, by number of endpoints.
 
 use crate::simulate::load_scenario;
 use clap::Args;
 use cloverstile_simulator::{simulate_failover, FailoverScenario, SpilloverPolicy};
 use cloverstile_testbench::html_report::SCALE_FILE;
-use cloverstile_testbench::table::Table as Columns;
+use cloverstile_testbench::table::Table as RecordTable;
 use comfy_table::{presets::UTF8_BORDERS_ONLY, Table};
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// The built-in scenario that is scaled.
+/// The built-in scenario that is scaled to each size.
 const SCENARIO: &str = "many";
 const HEADINGS: [&str; 5] =
     ["endpoints", "gateways", "messages/s of a core", "microseconds a turn", "most memory, MiB"];
@@ -28,7 +28,7 @@
     out: Option<PathBuf>,
 }
 
-/// The figures of one size.
+/// Measured values for one number of endpoints.
 struct ScaleMeasurement {
     endpoints: usize,
     gateways: usize,
@@ -37,7 +37,7 @@
     peak_memory_mib: f64,
 }
 
-/// The most memory that this process has had, in MiB.
+/// Peak resident memory of this process so far, in MiB; NaN if it can't be read.
 fn peak_memory_mib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -45,7 +45,7 @@
     kib.unwrap_or(f64::NAN) / 1024.0
 }
 
-/// The scenario with another number of endpoints and the same load.
+/// The scenario with about this number of endpoints, by more or fewer copies of its destinations, at the same load.
 fn scaled_scenario(endpoints: usize) -> Result<FailoverScenario, String> {
     let mut scenario = load_scenario(SCENARIO)?;
     let factor = endpoints as f64 / scenario.endpoint_count() as f64;
@@ -56,23 +56,23 @@
 }
 
 impl ScaleCommand {
-    /// Measures each size, the smallest first.
+    /// Measures each size. Starts with the smallest, since peak memory never falls within a process.
     pub fn measure(&self) -> Result<bool, String> {
         let mut sizes = self.endpoints.clone();
         sizes.sort_unstable();
-        let mut columns = Columns::default();
+        let mut record = RecordTable::default();
         let mut table = Table::new();
         table.load_preset(UTF8_BORDERS_ONLY);
         table.set_header(HEADINGS);
         for size in sizes {
             let measurement = self.measure_size(size)?;
             table.add_row(measurement.row());
-            measurement.push_to(&mut columns);
+            measurement.push_to(&mut record);
         }
         println!("{table}");
         if let Some(out) = &self.out {
             std::fs::create_dir_all(out).map_err(|error| format!("{}: {error}", out.display()))?;
-            columns.write(&out.join(SCALE_FILE)).map_err(|error| error.to_string())?;
+            record.write(&out.join(SCALE_FILE)).map_err(|error| error.to_string())?;
         }
         Ok(true)
     }
@@ -80,9 +80,9 @@
     fn measure_size(&self, endpoints: usize) -> Result<ScaleMeasurement, String> {
         let mut scenario = scaled_scenario(endpoints)?;
         scenario.seconds = self.seconds;
-        let began = Instant::now();
+        let started = Instant::now();
         let run = simulate_failover(&scenario, SpilloverPolicy::Planner, 1);
-        let seconds = began.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         Ok(ScaleMeasurement {
             endpoints: scenario.endpoint_count(),
             gateways: scenario.instances,
@@ -104,13 +104,13 @@
         ]
     }
 
-    fn push_to(&self, columns: &mut Columns) {
+    fn push_to(&self, record: &mut RecordTable) {
         let numbers = [
             ("endpoints", self.endpoints as f64),
             ("messages_a_second", self.messages_per_second),
             ("us_a_turn", self.us_per_turn),
             ("memory_mib", self.peak_memory_mib),
         ];
-        columns.push_row(&[], &numbers);
+        record.push_row(&[], &numbers);
     }
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/simulate.rs
@@ -1,4 +1,4 @@
-//! `cloverstile-testbench simulate`: scenarios on virtual time.
+//! The subcommand `simulate`: failover scenarios in virtual time.
 
 use crate::scenario_files;
 use clap::Args;
@@ -54,7 +54,7 @@
     json: bool,
 }
 
-/// One run.
+/// Metrics of the simulation of one policy with one seed.
 struct SimulatedRun {
     policy: SpilloverPolicy,
     seed: u64,
@@ -85,15 +85,15 @@
         scenario.instances = self.gateways.unwrap_or(scenario.instances).max(1);
         let policies =
             if self.policies.is_empty() { SpilloverPolicy::ALL.to_vec() } else { self.policies.clone() };
-        let mut clean = true;
+        let mut passed = true;
         let mut runs = Vec::new();
         for seed in self.seed..self.seed + self.seeds.max(1) {
             for policy in policies.iter().copied() {
-                let began = Instant::now();
+                let started = Instant::now();
                 let run = simulate_failover(&scenario, policy, seed);
-                let elapsed = began.elapsed();
+                let elapsed = started.elapsed();
                 let metrics = SimulationMetrics::new(&scenario, &run);
-                clean &= policy != SpilloverPolicy::Planner || metrics.violations == 0;
+                passed &= policy != SpilloverPolicy::Planner || metrics.violations == 0;
                 let simulated = SimulatedRun { policy, seed, metrics, elapsed };
                 if self.json {
                     print_json(&simulated);
@@ -105,7 +105,7 @@
         if !self.json {
             println!("{}", table(&runs));
         }
-        Ok(clean)
+        Ok(passed)
     }
 
     fn print_details(&self, scenario: &FailoverScenario, run: &FailoverRun) {
--- a/crates/testbench/src/experiment.rs
+++ b/crates/testbench/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments: a grid of scenarios, policies and seeds on virtual time, run on several threads.
+//! Experiments: simulations of all combinations of scenarios, policies and seeds, run on several threads.
 
 mod record;
 mod statistics;
@@ -13,37 +13,37 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{mpsc, Mutex, PoisonError};
 
-/// An experiment's file.
+/// The contents of an experiment file (HCL).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Number of seeds, from 1 on.
+    /// Number of seeds; each combination runs with the seeds from 1 to this number.
     pub seeds: u64,
-    /// Names of policies; all where left out.
+    /// Names of the policies; all policies if empty.
     #[serde(default)]
     pub policies: Vec<String>,
-    /// Scenarios by their names or files, with what is other in them.
+    /// Overrides by scenario, which is given by its built-in name or its file.
     #[serde(rename = "scenario")]
     pub scenarios: BTreeMap<String, ScenarioOverrides>,
 }
 
-/// What an experiment changes of a scenario.
+/// Settings of a scenario that an experiment replaces; absent ones keep their values.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ScenarioOverrides {
-    /// Number of gateways.
+    /// Number of gateway instances, at least 1.
     #[serde(rename = "couriers")]
     pub gateways: Option<usize>,
-    /// Messages a second.
+    /// Messages per second from all clients together.
     pub rate: Option<f64>,
-    /// Length in seconds.
+    /// Time during which messages are submitted, in seconds.
     pub seconds: Option<f64>,
-    /// Share that spills, of all destinations.
+    /// Spill share of every destination, limited to the range from 0 to 1.
     pub spill_share: Option<f64>,
 }
 
 impl ScenarioOverrides {
-    /// Changes a scenario.
+    /// Applies the overrides to a scenario.
     pub fn apply(&self, scenario: &mut FailoverScenario) {
         scenario.instances = self.gateways.unwrap_or(scenario.instances).max(1);
         scenario.rate = self.rate.unwrap_or(scenario.rate);
@@ -54,30 +54,32 @@
     }
 }
 
-/// Why an experiment can't be run.
+/// The reason why an experiment file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// The text is no HCL, or not in the form of an experiment.
+    /// The text is not valid HCL or does not have the structure of an experiment.
     #[error("experiment: {0}")]
     Syntax(#[from] hcl::Error),
-    /// A policy that does not exist.
-    #[error("experiment: there is no policy '{name}'; one of: {}", known.join(", "))]
+    /// The experiment names an unknown policy.
+    #[error("experiment: unknown policy '{name}'; expected one of: {}", known.join(", "))]
     UnknownPolicy {
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// Names that exist.
+        /// Names of all policies.
         known: Vec<&'static str>,
     },
-    /// Nothing to run.
-    #[error("experiment: seeds above zero and a block scenario \"name\" {{}} are needed")]
+    /// The number of seeds is zero, or there is no scenario.
+    #[error(
+        "experiment: 'seeds' must be above zero, and at least one block scenario \"name\" {{}} is required"
+    )]
     Empty,
 }
 
 impl Experiment {
-    /// Reads an experiment's text.
+    /// Parses and validates an experiment file.
     ///
     /// # Errors
-    /// The text is not in the form of an experiment, has no seeds or no scenario, or names an unknown policy.
+    /// The text is not a valid experiment, has no seeds or no scenario, or names an unknown policy.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = hcl::from_str(text)?;
         experiment.policy_kinds()?;
@@ -87,25 +89,25 @@
         Ok(experiment)
     }
 
-    /// The policies; all where none is named.
+    /// The policies to run; all if none is named.
     ///
     /// # Errors
-    /// A policy is unknown.
+    /// A policy name is unknown.
     pub fn policy_kinds(&self) -> Result<Vec<SpilloverPolicy>, ExperimentError> {
         if self.policies.is_empty() {
             return Ok(SpilloverPolicy::ALL.to_vec());
         }
-        let kind = |name: &String| {
+        let parse = |name: &String| {
             SpilloverPolicy::from_name(name).ok_or_else(|| ExperimentError::UnknownPolicy {
                 name: name.clone(),
                 known: SpilloverPolicy::ALL.into_iter().map(SpilloverPolicy::name).collect(),
             })
         };
-        self.policies.iter().map(kind).collect()
+        self.policies.iter().map(parse).collect()
     }
 }
 
-/// One run of the grid.
+/// One simulation of the grid.
 struct Job<'a> {
     scenario_name: &'a str,
     scenario: &'a FailoverScenario,
@@ -113,16 +115,16 @@
     seed: u64,
 }
 
-/// A scenario and its name in the record.
+/// A scenario with overrides applied, and the name under which it is recorded.
 pub struct NamedScenario {
-    /// The name.
+    /// Value of the column `scenario` in the record.
     pub name: String,
-    /// The scenario.
+    /// The scenario to simulate.
     pub scenario: FailoverScenario,
 }
 
-/// Runs the whole grid on so many threads. The record does not depend on their number. `on_progress` gets the number
-/// of runs done and of all runs.
+/// Runs the whole grid on the given number of threads, which does not affect the record. `on_progress` is called after
+/// each run with the number of completed runs and of all runs.
 pub fn run_experiment(
     scenarios: &[NamedScenario],
     policies: &[SpilloverPolicy],
@@ -142,22 +144,23 @@
         }
     }
     let next = AtomicUsize::new(0);
-    let (done, completions) = mpsc::channel();
+    let (completion_sender, completions) = mpsc::channel();
     let records: Vec<Mutex<Option<ExperimentRecord>>> = jobs.iter().map(|_| Mutex::default()).collect();
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
-            let (done, next, jobs, records) = (done.clone(), &next, &jobs, &records);
+            let (completion_sender, next, jobs, records) =
+                (completion_sender.clone(), &next, &jobs, &records);
             scope.spawn(move || loop {
                 let position = next.fetch_add(1, Ordering::Relaxed);
                 let Some(job) = jobs.get(position) else { return };
                 let run = simulate_failover(job.scenario, job.policy, job.seed);
                 let record = record_run(job.scenario_name, job.scenario, job.policy, job.seed, &run);
                 *records[position].lock().unwrap_or_else(PoisonError::into_inner) = Some(record);
-                // The receiver is gone only if the caller has panicked.
-                let _ = done.send(());
+                // Sending fails only if the receiving thread has panicked.
+                let _ = completion_sender.send(());
             });
         }
-        drop(done);
+        drop(completion_sender);
         for (completed, ()) in completions.iter().enumerate() {
             on_progress(completed + 1, jobs.len());
         }
--- a/crates/testbench/src/experiment/record.rs
+++ b/crates/testbench/src/experiment/record.rs
@@ -1,4 +1,5 @@
-//! The record of an experiment as tables. Names of columns are read by others and must stay.
+//! The record of an experiment as tables. Column names are part of the stored format, which other programs read, and
+//! must not change.
 
 use crate::simulation_metrics::{value_by_second, SimulationMetrics};
 use crate::table::Table;
@@ -6,21 +7,22 @@
 use cloverstile_simulator::{FailoverRun, FailoverScenario, SpilloverPolicy};
 use std::collections::BTreeMap;
 
-/// The record of an experiment.
+/// The tables of an experiment, each of which is stored as a Parquet file.
 #[derive(Clone, Debug, Default)]
 pub struct ExperimentRecord {
-    /// One row for each run.
+    /// One row per run: its metrics.
     pub runs: Table,
-    /// One row for each second of a run.
+    /// One row per second of a run: value and spillover.
     pub seconds: Table,
-    /// One row for each 100 ms after a return, over all sites of a run: the fullest of them.
+    /// One row per 100 ms window after a recovery, over all destinations of a run: the highest load ratios and the sum
+    /// of the requests.
     pub windows: Table,
-    /// One row for each class of a run.
+    /// One row per message class of a run: age at delivery, late and undelivered messages.
     pub classes: Table,
 }
 
 impl ExperimentRecord {
-    /// Adds the rows of another record behind these.
+    /// Appends the rows of another record.
     pub(super) fn append(&mut self, other: ExperimentRecord) {
         self.runs.append(other.runs);
         self.seconds.append(other.seconds);
@@ -29,13 +31,13 @@
     }
 }
 
-/// The columns that name a run in each table.
+/// The columns that identify a run in each table.
 struct RunKey<'a> {
     texts: [(&'static str, &'a str); 2],
     seed: (&'static str, f64),
 }
 
-/// The record of one run.
+/// Builds the record of one run.
 pub(super) fn record_run(
     scenario_name: &str,
     scenario: &FailoverScenario,
@@ -95,11 +97,11 @@
     }
 }
 
-/// Load of all sites in one window after a return.
+/// Load of all recovering destinations in one window after a recovery.
 #[derive(Default)]
 struct WindowLoad {
-    fullest_of_bound: f64,
-    fullest_of_capacity: f64,
+    peak_bound_ratio: f64,
+    peak_capacity_ratio: f64,
     received: f64,
 }
 
@@ -108,8 +110,8 @@
     for window in &run.windows {
         let received = f64::from(window.received);
         let load = windows.entry(window.since_recovery.as_millis()).or_default();
-        load.fullest_of_bound = load.fullest_of_bound.max(received / window.collapse_bound.max(1.0));
-        load.fullest_of_capacity = load.fullest_of_capacity.max(received / window.capacity.max(1.0));
+        load.peak_bound_ratio = load.peak_bound_ratio.max(received / window.collapse_bound.max(1.0));
+        load.peak_capacity_ratio = load.peak_capacity_ratio.max(received / window.capacity.max(1.0));
         load.received += received;
     }
     for (after_ms, load) in windows {
@@ -118,8 +120,8 @@
             &[
                 key.seed,
                 ("after_ms", after_ms as f64),
-                ("fullest_of_bound", load.fullest_of_bound),
-                ("fullest_of_capacity", load.fullest_of_capacity),
+                ("fullest_of_bound", load.peak_bound_ratio),
+                ("fullest_of_capacity", load.peak_capacity_ratio),
                 ("received", load.received),
             ],
         );
@@ -151,7 +153,7 @@
     }
 }
 
-/// A quantile of sorted values; not a number where there are none.
+/// A quantile of sorted values; NaN without values.
 fn quantile(sorted: &[f64], quantile: f64) -> f64 {
     let position = ((sorted.len() as f64 * quantile) as usize).min(sorted.len().saturating_sub(1));
     sorted.get(position).copied().unwrap_or(f64::NAN)
--- a/crates/testbench/src/experiment/tests.rs
+++ b/crates/testbench/src/experiment/tests.rs
@@ -1,4 +1,4 @@
-//! Intervals against a table of Student's t, records against the number of threads, and errors of bad files.
+//! Confidence intervals against tabulated values, independence of the record from threads, errors of invalid files.
 
 use super::{
     confidence_interval, run_experiment, ConfidenceInterval, Experiment, NamedScenario, ScenarioOverrides,
@@ -7,7 +7,7 @@
 
 #[test]
 fn confidence_interval_uses_students_t() {
-    // Five values, mean 3, deviation sqrt(2.5): t of four degrees is 2.776.
+    // Five values with mean 3 and standard deviation sqrt(2.5). The tabulated t for four degrees of freedom is 2.776.
     let interval = confidence_interval([1.0, 2.0, 3.0, 4.0, 5.0, f64::NAN].into_iter());
     assert_eq!((interval.mean, interval.count), (3.0, 5));
     assert!((interval.half_width - 2.776 * (2.5_f64 / 5.0).sqrt()).abs() < 1e-3, "{interval:?}");
@@ -22,8 +22,8 @@
     let overrides = ScenarioOverrides { seconds: Some(4.0), rate: Some(100.0), ..Default::default() };
     overrides.apply(&mut scenario);
     let scenarios = [NamedScenario { name: "surge".to_owned(), scenario }];
-    let played = |threads| run_experiment(&scenarios, &SpilloverPolicy::ALL, 2, threads, &|_, _| {});
-    let (one, many) = (played(1), played(3));
+    let run = |threads| run_experiment(&scenarios, &SpilloverPolicy::ALL, 2, threads, &|_, _| {});
+    let (one, many) = (run(1), run(3));
     assert_eq!(one.runs.row_count(), 8);
     assert_eq!(format!("{one:?}"), format!("{many:?}"));
     let error = |text: &str| Experiment::parse(text).unwrap_err().to_string();
--- a/crates/testbench/src/load_report.rs
+++ b/crates/testbench/src/load_report.rs
@@ -1,65 +1,65 @@
-//! Metrics of a run of even load, on sockets or simulated.
+//! Report of a load balance run, over sockets or simulated.
 
 use cloverstile_load_metrics::measure;
 use cloverstile_simulator::{LoadBalanceRun, LoadBalanceScenario};
 use serde::Serialize;
 use std::time::Duration;
 
-/// The metrics of a run, or the means of several.
+/// The metrics of one run, or the aggregate of several runs of one scenario.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Number of gateways.
+    /// Number of gateway instances.
     #[serde(rename = "couriers")]
     pub gateways: usize,
-    /// Number of endpoints.
+    /// Number of endpoints of all partners, including those added as replacements.
     pub endpoints: usize,
-    /// Messages submitted.
+    /// Number of messages submitted.
     pub messages: u64,
-    /// ... that have their final outcome.
+    /// Number of messages with a final outcome.
     pub answered: u64,
-    /// ... rejected.
+    /// Number of messages rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// ... failed.
+    /// Number of messages failed.
     pub failed: u64,
-    /// Value delivered over value submitted, each message by its priority weight.
+    /// Ratio of delivered to submitted value. A message's full value is the priority weight of its class.
     #[serde(rename = "worth")]
     pub value_ratio: f64,
-    /// Load of the fullest endpoint of a partner in a window over its fair share.
+    /// Load of a partner's most loaded endpoint in a window, relative to its fair share.
     pub peak_over_mean: f64,
-    /// The same for a central balancer that sees everything.
+    /// `peak_over_mean` of the baseline: the same requests assigned by one central balancer that sees all of them.
     pub central_peak_over_mean: f64,
-    /// The same for a random choice.
+    /// `peak_over_mean` of the baseline: the same requests assigned by weighted random choice.
     pub random_peak_over_mean: f64,
-    /// 99th percentile of an endpoint's load in a window over its fair share.
+    /// 99th percentile of an endpoint's load in a window, relative to its fair share.
     pub p99_over_mean: f64,
-    /// Jain's fairness index over the whole run.
+    /// Jain's fairness index of the endpoint loads over the whole run; 1 is perfectly even.
     pub jain: f64,
-    /// Share of the time in which an endpoint idles while its partner is busy.
+    /// Share of the time in which an endpoint is idle while its partner is busy.
     pub idle_share: f64,
-    /// Utilization of limits in the seconds in which messages wait for them.
+    /// Utilization of rate limits during the seconds in which messages wait for them.
     pub limit_use_while_waiting: f64,
-    /// Requests close behind another gateway's, over the number that chance gives.
+    /// Requests that closely follow another gateway's to the same endpoint, relative to the number expected by chance.
     #[serde(rename = "herds")]
-    pub herding: f64,
-    /// New connections for each message.
+    pub herding_ratio: f64,
+    /// New connections per message.
     #[serde(rename = "new_connections_a_message")]
     pub new_connections_per_message: f64,
-    /// Rejected requests for each message.
+    /// Rejected requests per message.
     #[serde(rename = "refusals_a_message")]
     pub rejections_per_message: f64,
-    /// Requests for each message.
+    /// Requests per message.
     #[serde(rename = "calls_a_message")]
     pub requests_per_message: f64,
-    /// Violations of the delivery invariants.
+    /// Number of violations of the delivery invariants.
     #[serde(rename = "rules_broken")]
     pub violations: u64,
-    /// Wall time in seconds.
+    /// Wall time of the run, in seconds.
     pub seconds: f64,
 }
 
 impl LoadReport {
-    /// The metrics of one run; `seed` is that of the baselines.
+    /// Computes the metrics of one run. `seed` seeds the baselines' random choices.
     pub fn new(
         scenario: &LoadBalanceScenario,
         run: &LoadBalanceRun,
@@ -83,7 +83,7 @@
             jain: metrics.observed.jain,
             idle_share: metrics.observed.idle_share,
             limit_use_while_waiting: metrics.limit_use_while_waiting,
-            herding: metrics.herding_ratio,
+            herding_ratio: metrics.herding_ratio,
             new_connections_per_message: metrics.new_connections_per_message,
             rejections_per_message: metrics.rejections_per_message,
             requests_per_message: metrics.calls_per_message,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Several runs of one scenario: means of shares and ratios, sums of counts.
+    /// Aggregates several runs of one scenario: means of shares and ratios, sums of counts and wall times.
     pub fn mean(reports: &[LoadReport]) -> LoadReport {
         let mean =
             |of: fn(&LoadReport) -> f64| reports.iter().map(of).sum::<f64>() / reports.len().max(1) as f64;
@@ -113,7 +113,7 @@
             jain: mean(|report| report.jain),
             idle_share: mean(|report| report.idle_share),
             limit_use_while_waiting: mean(|report| report.limit_use_while_waiting),
-            herding: mean(|report| report.herding),
+            herding_ratio: mean(|report| report.herding_ratio),
             new_connections_per_message: mean(|report| report.new_connections_per_message),
             rejections_per_message: mean(|report| report.rejections_per_message),
             requests_per_message: mean(|report| report.requests_per_message),
--- a/crates/testbench/src/simulation_metrics.rs
+++ b/crates/testbench/src/simulation_metrics.rs
@@ -1,5 +1,4 @@
-//! Metrics of a simulated run: delivered value, the worst ten seconds, time to full service, load of recovering sites,
-//! spillover.
+//! Metrics of a simulated failover run: delivered value, recovery time, load of recovering destinations, spillover.
 
 use cloverstile_engine::FinalOutcome;
 use cloverstile_simulator::{FailoverRun, FailoverScenario, MessageHistory, RecoveryWindow};
@@ -7,74 +6,75 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Seconds of submissions in which the worst is looked for.
-const WORST_SECONDS: usize = 10;
-/// Service is full where this share of the submitted value is earned ...
+/// Length of the sliding window over which the lowest value ratio is computed, in seconds.
+const WORST_WINDOW_SECONDS: usize = 10;
+/// Service is full when at least this share of the submitted value is earned ...
 const FULL_SERVICE_SHARE: f64 = 0.95;
-/// ... in this many seconds in a row.
+/// ... over this many consecutive seconds.
 const FULL_SERVICE_SECONDS: usize = 3;
-/// Seconds in which fewer messages are wanted say nothing of a share.
-const MIN_WANTED: f64 = 50.0;
+/// Seconds with fewer pending messages are skipped, since a share of so few is not meaningful.
+const MIN_PENDING: f64 = 50.0;
 
-/// The metrics of one run.
+/// The metrics of one failover run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SimulationMetrics {
-    /// Messages submitted.
+    /// Number of messages submitted.
     pub messages: usize,
-    /// Share of them that was delivered.
+    /// Share of the messages that was delivered.
     #[serde(rename = "delivered")]
     pub delivered_share: f64,
-    /// Value earned, as a share of what all messages in time would have earned.
+    /// Earned value as a share of the value of all messages, had each been delivered in time.
     #[serde(rename = "worth")]
     pub value_ratio: f64,
-    /// The same of the messages submitted during the worst ten seconds in a row.
+    /// The lowest value ratio of the messages submitted in any ten consecutive seconds.
     #[serde(rename = "worst_ten_s")]
     pub worst_value_ratio: f64,
-    /// From the last return of a site until full service, in seconds; none where there was no return or it never came.
+    /// Seconds from the last recovery of a destination until full service; `None` without a recovery or if full service
+    /// was never reached.
     #[serde(rename = "full_service_s")]
     pub time_to_full_service_s: Option<f64>,
-    /// Windows of 100 ms at recovering sites.
+    /// Number of 100 ms windows measured at recovering destinations.
     pub windows: usize,
-    /// ... that got more than the site survives.
+    /// Number of those windows with more requests than the destination withstands.
     pub windows_over_bound: usize,
-    /// Most that a window got, as a share of what the site survives.
+    /// Highest ratio of a window's requests to the number that the destination withstands.
     #[serde(rename = "worst_of_bound")]
     pub peak_bound_ratio: f64,
-    /// Most that a window got, as a share of what the site can serve.
+    /// Highest ratio of a window's requests to the number that the destination can serve.
     #[serde(rename = "worst_of_capacity")]
     pub peak_capacity_ratio: f64,
-    /// Most that spilled in a second, as a share of what was permitted: the spill share of the messages that were
-    /// submitted then or waited for the destination.
+    /// Highest ratio, in any second, of spilled to permitted messages. Permitted is the spill share of the messages
+    /// that were submitted or pending in that second.
     #[serde(rename = "worst_spill")]
     pub peak_spill_ratio: f64,
-    /// Most by which what a gateway spilled was above its share of what it had accepted for a destination since the
-    /// first fault, in messages. A message can't be split, so that one is allowed.
+    /// Most messages that a gateway spilled for a destination beyond the spill share of those it had accepted for it
+    /// since the first fault. Since a message can't be split, an excess of one is allowed.
     pub spill_excess: f64,
-    /// Messages that first reached a tier behind the preferred one.
+    /// Number of messages that reached a tier behind the preferred one; each counts once.
     #[serde(rename = "spilt")]
     pub spilled: u64,
-    /// Violations of the delivery invariants.
+    /// Number of violations of the delivery invariants.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// Violations by kind: no single outcome, late or untrue outcome, repeated effect, order, send to a draining
-    /// endpoint, overloaded site, `Retry-After` ignored.
+    /// Violations by kind: missing or extra outcome, late or wrong outcome, repeated effect, order, send to a draining
+    /// endpoint, collapsed destination, `Retry-After` not honoured.
     #[serde(rename = "broken_by_kind")]
     pub violations_by_kind: [u64; 7],
-    /// Requests at the sites.
+    /// Number of requests at all destinations.
     pub requests: u64,
 }
 
-/// Value of messages: what they would earn in time, and what they earned.
+/// Offered and earned value of a set of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Value {
-    /// Sum of the priority weights.
+    /// Sum of the priority weights: the value if every message is delivered in time.
     pub offered: f64,
-    /// Sum of the values of those delivered, by their age then.
+    /// Sum of the values of the delivered messages, each by its age at delivery.
     pub earned: f64,
 }
 
 fn value_of(scenario: &FailoverScenario, message: &MessageHistory) -> Value {
-    // Classes are numbered in the order of their names.
+    // Class indices follow the order of the class names.
     let Some(class) = scenario.classes.values().nth(usize::from(message.class)) else {
         return Value::default();
     };
@@ -87,7 +87,7 @@
     Value { offered: class.priority_weight, earned }
 }
 
-/// Value of the messages by the second of their submission.
+/// Offered and earned value, by the second in which the messages were submitted.
 pub fn value_by_second(scenario: &FailoverScenario, run: &FailoverRun) -> Vec<Value> {
     let mut seconds = vec![Value::default(); scenario.seconds.ceil() as usize];
     for message in &run.messages {
@@ -100,8 +100,8 @@
     seconds
 }
 
-/// Earned over offered value; 1 where nothing was offered.
-fn ratio(seconds: &[Value]) -> f64 {
+/// Ratio of earned to offered value; 1 if nothing was offered.
+fn value_ratio(seconds: &[Value]) -> f64 {
     let offered = seconds.iter().fold(0.0, |sum, second| sum + second.offered);
     let earned = seconds.iter().fold(0.0, |sum, second| sum + second.earned);
     if offered > 0.0 {
@@ -111,55 +111,61 @@
     }
 }
 
-/// Seconds from a time until full service begins.
+/// Seconds from a time until full service begins; `None` if it never does.
 fn time_to_full_service(seconds: &[Value], since: Duration) -> Option<f64> {
     let first = since.as_secs() as usize;
     let rest = seconds.get(first..).unwrap_or_default();
-    let begin = rest.windows(FULL_SERVICE_SECONDS).position(|part| ratio(part) >= FULL_SERVICE_SHARE)?;
-    Some(((first + begin) as f64 - since.as_secs_f64()).max(0.0))
+    let offset =
+        rest.windows(FULL_SERVICE_SECONDS).position(|window| value_ratio(window) >= FULL_SERVICE_SHARE)?;
+    Some(((first + offset) as f64 - since.as_secs_f64()).max(0.0))
 }
 
 impl SimulationMetrics {
-    /// The metrics of a run.
+    /// Computes the metrics from the record of a run.
     pub fn new(scenario: &FailoverScenario, run: &FailoverRun) -> SimulationMetrics {
         let seconds = value_by_second(scenario, run);
-        let last_return = run.windows.iter().map(|window| window.start - window.since_recovery).max();
+        let last_recovery = run.windows.iter().map(|window| window.start - window.since_recovery).max();
         let is_delivered =
             |message: &&MessageHistory| matches!(message.outcome, Some((FinalOutcome::Delivered, _)));
         let delivered = run.messages.iter().filter(is_delivered).count();
-        let most = |of: fn(&RecoveryWindow) -> f64| run.windows.iter().map(of).fold(0.0, f64::max);
+        let max_over_windows =
+            |of: fn(&RecoveryWindow) -> f64| run.windows.iter().map(of).fold(0.0, f64::max);
         let is_over_bound =
             |window: &&RecoveryWindow| f64::from(window.received) > window.collapse_bound.max(1.0);
-        let audit = &run.violations;
+        let violations = &run.violations;
         SimulationMetrics {
             messages: run.messages.len(),
             delivered_share: delivered as f64 / run.messages.len().max(1) as f64,
-            value_ratio: ratio(&seconds),
-            worst_value_ratio: seconds.windows(WORST_SECONDS).map(ratio).fold(1.0, f64::min),
-            time_to_full_service_s: last_return.and_then(|since| time_to_full_service(&seconds, since)),
+            value_ratio: value_ratio(&seconds),
+            worst_value_ratio: seconds.windows(WORST_WINDOW_SECONDS).map(value_ratio).fold(1.0, f64::min),
+            time_to_full_service_s: last_recovery.and_then(|since| time_to_full_service(&seconds, since)),
             windows: run.windows.len(),
             windows_over_bound: run.windows.iter().filter(is_over_bound).count(),
-            peak_bound_ratio: most(|window| f64::from(window.received) / window.collapse_bound.max(1.0)),
-            peak_capacity_ratio: most(|window| f64::from(window.received) / window.capacity.max(1.0)),
+            peak_bound_ratio: max_over_windows(|window| {
+                f64::from(window.received) / window.collapse_bound.max(1.0)
+            }),
+            peak_capacity_ratio: max_over_windows(|window| {
+                f64::from(window.received) / window.capacity.max(1.0)
+            }),
             peak_spill_ratio: peak_spill_ratio(scenario, run),
             spill_excess: spill_excess(scenario, run),
             spilled: run.seconds.iter().map(|second| u64::from(second.spilled)).sum(),
-            violations: audit.total(),
+            violations: violations.total(),
             violations_by_kind: [
-                audit.missing_or_extra_outcomes,
-                audit.late_or_wrong_outcomes,
-                audit.repeated_effects,
-                audit.out_of_order,
-                audit.sends_after_drain,
-                audit.collapsed_sites,
-                audit.early_retries,
+                violations.missing_or_extra_outcomes,
+                violations.late_or_wrong_outcomes,
+                violations.repeated_effects,
+                violations.out_of_order,
+                violations.sends_after_drain,
+                violations.collapsed_sites,
+                violations.early_retries,
             ],
             requests: run.requests,
         }
     }
 }
 
-/// The spill share of each destination, in the order of their numbers.
+/// The spill share of each destination, by index; each copy has its own entry.
 fn spill_shares(scenario: &FailoverScenario) -> Vec<f64> {
     let destinations = scenario.destinations.values();
     destinations
@@ -167,18 +173,18 @@
         .collect()
 }
 
-/// Spillover of one second.
+/// Messages of one second that count towards spillover.
 #[derive(Clone, Copy, Default)]
 struct SpillSecond {
-    /// Sum of the spill shares of the messages that were wanted.
+    /// Sum of the spill shares of the pending messages: how many were permitted to spill.
     permitted: f64,
-    /// Messages that were submitted, or waited.
-    wanted: f64,
+    /// Messages that were submitted or still pending.
+    pending: f64,
     /// Messages that spilled.
     spilled: f64,
 }
 
-/// Spill of each second against the share of what was wanted then, over all destinations that spilled at all.
+/// Highest ratio of spilled to permitted messages in a second, over all destinations with any spilled message.
 fn peak_spill_ratio(scenario: &FailoverScenario, run: &FailoverRun) -> f64 {
     let shares = spill_shares(scenario);
     let spilling: BTreeSet<u32> = run
@@ -194,40 +200,41 @@
         for second in message.submitted_at.as_secs()..=until.as_secs() {
             if let Some(second) = seconds.get_mut(second as usize) {
                 second.permitted += shares[message.destination as usize];
-                second.wanted += 1.0;
+                second.pending += 1.0;
             }
         }
         if let Some(second) = message.spilled_at.and_then(|at| seconds.get_mut(at.as_secs() as usize)) {
             second.spilled += 1.0;
         }
     }
-    let measured = seconds.iter().filter(|second| second.wanted >= MIN_WANTED && second.permitted > 0.0);
+    let measured = seconds.iter().filter(|second| second.pending >= MIN_PENDING && second.permitted > 0.0);
     measured.map(|second| second.spilled / second.permitted).fold(0.0, f64::max)
 }
 
-/// By how much a gateway's spill for a destination was above its share of what it accepted since the first fault.
+/// Most messages by which a gateway's spill for a destination exceeded the spill share of the messages that it had
+/// accepted since the first fault.
 fn spill_excess(scenario: &FailoverScenario, run: &FailoverRun) -> f64 {
     let shares = spill_shares(scenario);
     let first_fault = scenario.faults.values().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
-    let longest = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
-    // Times at which a message was submitted (false) or spilled (true), by gateway and destination.
+    let longest_deadline = scenario.classes.values().map(|class| class.deadline).fold(0.0, f64::max);
+    // Times of submissions (false) and spills (true), by gateway and destination.
     let mut events: BTreeMap<(u32, u32), Vec<(Duration, bool)>> = BTreeMap::new();
     for message in &run.messages {
-        // What was submitted shortly before may have waited still.
-        if message.submitted_at.as_secs_f64() >= first_fault - longest {
+        // Messages submitted less than the longest deadline before the fault may still have been pending.
+        if message.submitted_at.as_secs_f64() >= first_fault - longest_deadline {
             let events = events.entry((message.instance, message.destination)).or_default();
             events.push((message.submitted_at, false));
             events.extend(message.spilled_at.map(|at| (at, true)));
         }
     }
-    let mut most = 0.0_f64;
+    let mut max_excess = 0.0_f64;
     for ((_, destination), mut events) in events {
         events.sort_unstable();
         let mut excess = 0.0;
         for (_, spilled) in events {
             excess += if spilled { 1.0 } else { -shares[destination as usize] };
-            most = most.max(excess);
+            max_excess = max_excess.max(excess);
         }
     }
-    most
+    max_excess
 }
--- a/crates/testbench/src/table.rs
+++ b/crates/testbench/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables in memory and as Parquet files: columns of texts and of numbers.
+//! Tables of text and number columns, in memory and as Parquet files.
 
 use arrow_array::cast::AsArray;
 use arrow_array::types::Float64Type;
@@ -12,16 +12,16 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// A table in memory. All columns have equally many rows.
+/// A table in memory. All columns have the same number of rows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// Columns of texts, by name.
+    /// Text columns, by name.
     pub texts: BTreeMap<String, Vec<String>>,
-    /// Columns of numbers, by name.
+    /// Number columns, by name; NaN stands for a missing value.
     pub numbers: BTreeMap<String, Vec<f64>>,
 }
 
-/// Why a table can't be written or read.
+/// A table file can't be written or read.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {reason}")]
 pub struct TableError {
@@ -30,7 +30,7 @@
 }
 
 impl Table {
-    /// Adds a row; each row names the same columns.
+    /// Appends a row. Every row must name the same columns.
     pub fn push_row(&mut self, texts: &[(&str, &str)], numbers: &[(&str, f64)]) {
         for (name, text) in texts {
             self.texts.entry((*name).to_owned()).or_default().push((*text).to_owned());
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds the rows of another table behind these.
+    /// Appends the rows of another table, which must have the same columns.
     pub fn append(&mut self, other: Table) {
         for (name, column) in other.texts {
             self.texts.entry(name).or_default().extend(column);
@@ -50,64 +50,64 @@
         }
     }
 
-    /// Number of rows.
+    /// Number of rows, taken from the longest column.
     pub fn row_count(&self) -> usize {
         self.texts.values().map(Vec::len).chain(self.numbers.values().map(Vec::len)).max().unwrap_or(0)
     }
 
-    /// A column of texts; empty if there is none of that name.
+    /// The text column of this name; empty if there is none.
     pub fn text_column(&self, name: &str) -> &[String] {
         self.texts.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// A column of numbers; empty if there is none of that name.
+    /// The number column of this name; empty if there is none.
     pub fn number_column(&self, name: &str) -> &[f64] {
         self.numbers.get(name).map_or(&[], Vec::as_slice)
     }
 
-    /// Writes the table as a Parquet file; the same table gives the same bytes.
+    /// Writes the table to a Parquet file. Equal tables yield identical files.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The file can't be created or written.
     pub fn write(&self, file: &Path) -> Result<(), TableError> {
-        let failed = |reason: String| TableError { file: file.display().to_string(), reason };
+        let table_error = |reason: String| TableError { file: file.display().to_string(), reason };
         let texts = self.texts.iter().map(|(name, column)| {
             (name.as_str(), Arc::new(StringArray::from_iter_values(column)) as ArrayRef)
         });
         let numbers = self.numbers.iter().map(|(name, column)| {
             (name.as_str(), Arc::new(Float64Array::from_iter_values(column.iter().copied())) as ArrayRef)
         });
-        let batch =
-            RecordBatch::try_from_iter(texts.chain(numbers)).map_err(|error| failed(error.to_string()))?;
+        let batch = RecordBatch::try_from_iter(texts.chain(numbers))
+            .map_err(|error| table_error(error.to_string()))?;
         let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
-        let out = File::create(file).map_err(|error| failed(error.to_string()))?;
+        let out = File::create(file).map_err(|error| table_error(error.to_string()))?;
         let mut writer = ArrowWriter::try_new(out, batch.schema(), Some(properties))
-            .map_err(|error| failed(error.to_string()))?;
-        writer.write(&batch).map_err(|error| failed(error.to_string()))?;
-        writer.close().map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| table_error(error.to_string()))?;
+        writer.write(&batch).map_err(|error| table_error(error.to_string()))?;
+        writer.close().map_err(|error| table_error(error.to_string()))?;
         Ok(())
     }
 
-    /// Reads a file that [`Table::write`] wrote; columns of other types are skipped.
+    /// Reads a Parquet file written by [`Table::write`]. Columns that are neither text nor `f64` are skipped.
     ///
     /// # Errors
     /// The file can't be read, or is not a Parquet file.
     pub fn read(file: &Path) -> Result<Table, TableError> {
-        let failed = |reason: String| TableError { file: file.display().to_string(), reason };
-        let open = File::open(file).map_err(|error| failed(error.to_string()))?;
+        let table_error = |reason: String| TableError { file: file.display().to_string(), reason };
+        let open = File::open(file).map_err(|error| table_error(error.to_string()))?;
         let reader = ParquetRecordBatchReaderBuilder::try_new(open)
             .and_then(ParquetRecordBatchReaderBuilder::build)
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| table_error(error.to_string()))?;
         let mut table = Table::default();
         for batch in reader {
-            let batch = batch.map_err(|error| failed(error.to_string()))?;
+            let batch = batch.map_err(|error| table_error(error.to_string()))?;
             for (field, column) in batch.schema().fields().iter().zip(batch.columns()) {
                 if let Some(texts) = column.as_string_opt::<i32>() {
-                    let kept = texts.iter().map(|text| text.unwrap_or_default().to_owned());
-                    table.texts.entry(field.name().clone()).or_default().extend(kept);
+                    let values = texts.iter().map(|text| text.unwrap_or_default().to_owned());
+                    table.texts.entry(field.name().clone()).or_default().extend(values);
                 } else if let Some(numbers) = column.as_primitive_opt::<Float64Type>() {
-                    let kept = numbers.iter().map(|number| number.unwrap_or(f64::NAN));
-                    table.numbers.entry(field.name().clone()).or_default().extend(kept);
+                    let values = numbers.iter().map(|number| number.unwrap_or(f64::NAN));
+                    table.numbers.entry(field.name().clone()).or_default().extend(values);
                 }
             }
         }
--- a/crates/testbench/src/table/tests.rs
+++ b/crates/testbench/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! Tables through Parquet files.
+//! Round trips of tables through Parquet files.
 
 use super::Table;
 
@@ -11,7 +11,7 @@
     table.write(&file).unwrap();
     let first = std::fs::read(&file).unwrap();
     table.write(&file).unwrap();
-    assert!(first == std::fs::read(&file).unwrap(), "two files of one table differ");
+    assert!(first == std::fs::read(&file).unwrap(), "writing the same table twice gives different bytes");
     assert_eq!(Table::read(&file).unwrap(), table);
     std::fs::write(&file, &first[..first.len() / 2]).unwrap();
     assert!(Table::read(&file).is_err());
