--- a/crates/testbench/days/payday.hcl
+++ b/crates/testbench/days/payday.hcl
@@ -1,4 +1,4 @@
-# A payday on which most things go wrong at once. Times in seconds.
+# A payday with many overlapping faults of partners, receipts and gateways. Times are in seconds.
 messages = 5000
 rate     = 380
 couriers = 3
--- a/crates/testbench/days/quiet.hcl
+++ b/crates/testbench/days/quiet.hcl
@@ -1,4 +1,4 @@
-# Nothing goes wrong: what the couriers cost by themselves.
+# No faults: a baseline for the cost of the gateways alone.
 messages = 2000
 rate     = 300
 couriers = 3
--- a/crates/testbench/days/receipts.hcl
+++ b/crates/testbench/days/receipts.hcl
@@ -1,4 +1,4 @@
-# Receipts that do not count: of other bytes, by other signers, late and twice.
+# Receipts that must not count: with the MIC of other content, signed with another key, late, or duplicated.
 messages = 1500
 rate     = 250
 couriers = 3
--- a/crates/testbench/days/zone.hcl
+++ b/crates/testbench/days/zone.hcl
@@ -1,4 +1,4 @@
-# A bank that serves from two sites loses the preferred one in the middle of a payday, and it comes back cold.
+# A bank with two zones loses the preferred one during a payday. The zone recovers with reduced capacity and warms up.
 messages = 3000
 rate     = 200
 couriers = 3
--- a/crates/testbench/src/bin/cloverstile-testbench/gateway.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/gateway.rs
@@ -1,4 +1,4 @@
-//! Gateways that the testbench starts of itself, so that it needs no other program.
+//! Commands that run a gateway. The testbench starts its own program with them, so that it needs no other program.
 
 use clap::Args;
 use cloverstile_resp_gateway::Environment;
--- a/crates/testbench/src/bin/cloverstile-testbench/main.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/main.rs
@@ -1,4 +1,4 @@
-//! The testbench's command line. See `cloverstile-testbench --help`.
+//! The command line of the testbench; `cloverstile-testbench --help` lists the commands.
 #![forbid(unsafe_code)]
 
 mod benchmark;
@@ -17,9 +17,9 @@
 use cloverstile_testbench::soak::Profile;
 use std::process::ExitCode;
 
-/// An invariant was violated.
+/// Exit code if an invariant was violated.
 const EXIT_VIOLATION: u8 = 1;
-/// Nothing could be played.
+/// Exit code if the command could not be carried out.
 const EXIT_FAILURE: u8 = 3;
 
 /// Plays fault scenarios through real gateways on loopback and checks the delivery invariants.
--- a/crates/testbench/src/bin/cloverstile-testbench/scenario.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scenario.rs
@@ -1,4 +1,4 @@
-//! `cloverstile-testbench scenario`, `replay` and `check`.
+//! The commands `scenario`, `replay` and `check`, which run a fault scenario or check its record.
 
 use crate::scenario_report::{write_record, ReportOptions};
 use crate::{progress, scenario_files};
@@ -76,19 +76,19 @@
     log: String,
 }
 
-fn load(name: &str) -> Result<FaultScenario, String> {
+fn load_scenario(name: &str) -> Result<FaultScenario, String> {
     scenario_files::load(name, &BUILT_IN_SCENARIOS, parse_scenario)
 }
 
 impl ScenarioCommand {
-    /// Plays all runs; true if no invariant was violated.
+    /// Runs the scenario once for each seed; true if no invariant was violated.
     pub fn run(&self) -> Result<bool, String> {
-        self.options.run(load(&self.scenario)?)
+        self.options.run(load_scenario(&self.scenario)?)
     }
 }
 
 impl ReplayCommand {
-    /// Converts the day and plays all runs; true if no invariant was violated.
+    /// Converts the bench day and runs it once for each seed; true if no invariant was violated.
     pub fn run(&self) -> Result<bool, String> {
         let name = self.file.display();
         let text = std::fs::read_to_string(&self.file).map_err(|error| format!("{name}: {error}"))?;
@@ -102,9 +102,9 @@
 }
 
 impl CheckCommand {
-    /// Checks the record; true if no invariant was violated.
+    /// Checks the record and prints the report as JSON; true if no invariant was violated.
     pub fn check(&self) -> Result<bool, String> {
-        let scenario = load(&self.scenario)?;
+        let scenario = load_scenario(&self.scenario)?;
         let name = self.record.display();
         let text = std::fs::read_to_string(&self.record).map_err(|error| format!("{name}: {error}"))?;
         let lines: Vec<RecordLine> = text
@@ -123,10 +123,11 @@
         scenario.gateways = self.gateways.unwrap_or(scenario.gateways).max(1);
         scenario.workers = self.workers.unwrap_or(scenario.workers);
         scenario.messages = self.messages.unwrap_or(scenario.messages).max(1);
-        let program = std::env::current_exe().map_err(|error| format!("the own program: {error}"))?;
+        let program = std::env::current_exe()
+            .map_err(|error| format!("the path of this program can't be determined: {error}"))?;
         let command = GatewayCommand { program, log: self.log.clone() };
         let options = ReportOptions { windows: self.windows, json: self.json };
-        let mut clean = true;
+        let mut no_violation = true;
         for seed in self.seed..self.seed + self.seeds.max(1) {
             let folder =
                 std::env::temp_dir().join(format!("cloverstile-testbench-{}-{seed}", std::process::id()));
@@ -140,8 +141,8 @@
                 write_record(path, &result.lines).map_err(|error| format!("{}: {error}", path.display()))?;
             }
             options.print_report(&scenario, seed, &result);
-            clean &= result.report.violations.is_empty();
+            no_violation &= result.report.violations.is_empty();
         }
-        Ok(clean)
+        Ok(no_violation)
     }
 }
--- a/crates/testbench/src/bin/cloverstile-testbench/scenario_files.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scenario_files.rs
@@ -1,8 +1,8 @@
-//! Scenarios by the name of a built-in one, or from a file.
+//! Loads scenarios by the name of a built-in one, or from a file.
 
 use std::fmt::Display;
 
-/// Reads the text of a built-in scenario or of a file, and parses it.
+/// Parses the built-in scenario of this name, or else the file at this path.
 pub fn load<T, E: Display>(
     name: &str,
     built_in: &[(&str, &str)],
--- a/crates/testbench/src/bin/cloverstile-testbench/scenario_report.rs
+++ b/crates/testbench/src/bin/cloverstile-testbench/scenario_report.rs
@@ -1,4 +1,4 @@
-//! What is printed and written of a fault scenario.
+//! Prints the results of a fault scenario and writes its record.
 
 use cloverstile_fakes::record::{ObservedEvent, RecordLine};
 use cloverstile_testbench::recovery_windows::{recovery_windows, RecoveryWindow};
@@ -10,25 +10,25 @@
 use std::io::Write;
 use std::path::Path;
 
-/// Violations that are printed of each run.
+/// Upper bound of the violations printed for each run.
 const MAX_VIOLATIONS: usize = 20;
-/// Longest answer time that is told apart, in microseconds.
+/// Largest answer time that the histogram can hold, in microseconds; longer ones count as this.
 const MAX_ANSWER_TIME_US: u64 = 600_000_000;
-/// Digits to which answer times are kept.
+/// Significant digits of the recorded answer times.
 const SIGNIFICANT_DIGITS: u8 = 3;
 const HEADINGS: [&str; 9] =
     ["seed", "messages", "delivered", "rejected", "failed", "lost", "late", "repeated", "violations"];
 
-/// What is printed, and how.
+/// Selects what is printed, and the format.
 pub struct ReportOptions {
-    /// Each window of a recovering site.
+    /// Whether to print each window of a recovering zone.
     pub windows: bool,
-    /// JSON in place of tables.
+    /// Whether to print the report as JSON instead of a table.
     pub json: bool,
 }
 
 impl ReportOptions {
-    /// Prints each window of recovering sites, if wanted.
+    /// Prints each window of recovering zones as a line of JSON, if enabled.
     pub fn print_windows(&self, scenario: &FaultScenario, result: &RunResult) {
         if self.windows {
             for window in recovery_windows(scenario, &result.lines) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Prints the report of a run.
+    /// Prints the report of a run as a table or a line of JSON.
     pub fn print_report(&self, scenario: &FaultScenario, seed: u64, result: &RunResult) {
         let times = AnswerTimes::of(&result.lines);
         if self.json {
@@ -96,9 +96,9 @@
     }
 }
 
-/// Times from each message's first submission to its first answer.
+/// Distribution of the times from the first submission of a message to its first answer.
 struct AnswerTimes {
-    /// In microseconds.
+    /// Answer times in microseconds.
     histogram: Histogram<u64>,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// Writes a record as JSON lines.
+/// Writes a record to a file, one JSON object per line.
 pub fn write_record(path: &Path, lines: &[RecordLine]) -> std::io::Result<()> {
     let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
     for line in lines {
--- a/crates/testbench/src/html_report.rs
+++ b/crates/testbench/src/html_report.rs
@@ -1,4 +1,4 @@
-//! An HTML page, complete in itself, with tables and SVG plots of an experiment's record.
+//! Writes a self-contained HTML page with tables and SVG plots of an experiment's record.
 
 mod figures;
 mod plot;
@@ -12,11 +12,11 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Names of the record's files in its folder: runs, seconds, windows and classes.
+/// File names of the record's tables: runs, seconds, windows and classes.
 pub const RECORD_FILES: [&str; 4] = ["runs.parquet", "seconds.parquet", "windows.parquet", "classes.parquet"];
-/// Name of the optional file of the cost of a decision by the number of endpoints.
+/// Name of the optional file with the cost of a decision by number of endpoints.
 pub const SCALE_FILE: &str = "scale.parquet";
-/// Name of the page.
+/// File name of the HTML page.
 pub const PAGE_FILE: &str = "report.html";
 
 const PAGE_HEAD: &str =
@@ -27,10 +27,10 @@
      <h1>Losing and regaining a zone</h1>\n<p>From simulated servers, on virtual time. Means over seeds with 95 % \
      intervals (Student's t); the lead is taken seed by seed.</p>\n";
 
-/// Why a report can't be made.
+/// An error while a report is read, drawn or written.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// The record can't be read.
+    /// A table of the record can't be read.
     #[error(transparent)]
     Table(#[from] TableError),
     /// A plot can't be drawn.
@@ -39,15 +39,15 @@
     /// A file can't be written.
     #[error("{file}: {error}")]
     Write {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         error: std::io::Error,
     },
 }
 
-/// The tables of a record.
+/// The tables of an experiment's record, one for each of [`RECORD_FILES`].
 struct Tables {
     runs: Table,
     seconds: Table,
@@ -62,10 +62,10 @@
     }
 }
 
-/// Makes the page from a record's folder, and writes it and each plot there; returns the page.
+/// Writes the HTML page and each SVG plot of a record to the record's folder, and returns the page.
 ///
 /// # Errors
-/// The record can't be read, or nothing can be written.
+/// The record can't be read, a plot can't be drawn, or a file can't be written.
 pub fn write_report(folder: &Path) -> Result<String, ReportError> {
     let tables = Tables::read(folder)?;
     let mut page = String::from(PAGE_HEAD);
@@ -131,9 +131,10 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// The plots of a scenario, each with the name of its file.
+/// The plots of a scenario, each with the suffix of its file name.
 fn scenario_plots(tables: &Tables, scenario: &str) -> [(&'static str, Plot<'static>); 4] {
-    let windows = |column: &str, join| lines_by_policy(&tables.windows, scenario, ["after_ms", column], join);
+    let windows =
+        |column: &str, aggregate| lines_by_policy(&tables.windows, scenario, ["after_ms", column], aggregate);
     let seconds = |column: &str| lines_by_policy(&tables.seconds, scenario, ["second", column], mean);
     let load = Plot {
         title: "Load of the fullest recovering site, worst seed",
--- a/crates/testbench/src/html_report/figures.rs
+++ b/crates/testbench/src/html_report/figures.rs
@@ -1,22 +1,22 @@
-//! Rows of the tables in a report.
+//! Builds the rows of the tables in a report.
 
 use crate::experiment::{column_values, confidence_interval, ConfidenceInterval};
 use crate::table::Table;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The policy whose lead over each other is reported.
+/// The policy whose lead over each other policy is reported.
 const OWN_POLICY: &str = "planner";
-/// The column in which the lead is taken.
+/// The column in which policies are compared for the lead.
 const LEAD_COLUMN: &str = "worst_ten_s";
-/// Digits behind the point of leads and of the figures of classes.
+/// Decimal places of the leads and of the figures by class.
 const LEAD_DIGITS: usize = 3;
 
-/// A column of the table of figures.
+/// A column of the summary table.
 struct Figure {
-    /// Its name in the record.
+    /// Name of the column in the record.
     column: &'static str,
     heading: &'static str,
-    /// Digits behind the point.
+    /// Decimal places.
     digits: usize,
 }
 
@@ -35,10 +35,10 @@
     figure("broken", "rules broken", 2),
 ];
 
-/// Headings of the table of classes.
+/// Headings of the table by class.
 pub(super) const CLASS_HEADINGS: [&str; 6] =
     ["class", "policy", "half within s", "99 of 100 within s", "late", "not delivered"];
-/// Columns of the record for the table of classes, behind class and policy.
+/// Columns of the record that the table by class shows after class and policy.
 const CLASS_COLUMNS: [&str; 4] = ["p50_s", "p99_s", "late", "not_delivered"];
 
 fn cell(interval: ConfidenceInterval, digits: usize) -> String {
@@ -48,8 +48,8 @@
     }
 }
 
-/// The figures of a scenario as rows: policy, mean and interval of each figure, and the lead of the policy `planner`
-/// over each other on the worst ten seconds, seed by seed.
+/// One row for each policy of a scenario: the mean and confidence interval of each figure, and the lead of the policy
+/// `planner` in the worst ten seconds, as the mean of the differences for each seed.
 pub fn summary_rows(runs: &Table, scenario: &str) -> Vec<Vec<String>> {
     let policies: BTreeSet<&String> = runs.text_column("policy").iter().collect();
     let own = column_values(runs, scenario, OWN_POLICY, LEAD_COLUMN);
@@ -74,7 +74,7 @@
     std::iter::once("policy").chain(figures).chain(["planner's lead, worst 10 s"]).collect()
 }
 
-/// The figures of a scenario's classes as rows, under [`CLASS_HEADINGS`].
+/// One row for each class and policy of a scenario, with the columns of [`CLASS_HEADINGS`].
 pub(super) fn class_rows(classes: &Table, scenario: &str) -> Vec<Vec<String>> {
     let mut values: BTreeMap<(&str, &str), [Vec<f64>; 4]> = BTreeMap::new();
     let columns = CLASS_COLUMNS.map(|name| classes.number_column(name));
--- a/crates/testbench/src/html_report/plot.rs
+++ b/crates/testbench/src/html_report/plot.rs
@@ -1,4 +1,4 @@
-//! Line plots as SVG.
+//! Draws line plots as SVG.
 
 use crate::table::Table;
 use plotters::backend::SVGBackend;
@@ -13,26 +13,26 @@
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// Width and height in pixels.
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (860, 340);
-/// Colours of policies, in the order of their names; told apart by those who see no red or no green.
+/// Colours of policies, in the order of their names. The palette is distinguishable with red-green colour blindness.
 const COLOURS: [RGBColor; 4] =
     [RGBColor(0, 114, 178), RGBColor(213, 94, 0), RGBColor(0, 158, 115), RGBColor(120, 94, 180)];
-/// Colour of a reference line.
+/// Colour of the reference line, a neutral grey.
 const REFERENCE_COLOUR: RGBColor = RGBColor(110, 110, 110);
 /// The y axis ends at this multiple of the largest value.
 const Y_MARGIN: f64 = 1.08;
-/// Least end of an axis.
+/// Least upper end of an axis, so that its range is never empty.
 const MIN_EXTENT: f64 = 1e-9;
-/// Length of a line in the legend, in pixels.
+/// Length of the line samples in the legend, in pixels.
 const LEGEND_LENGTH: i32 = 18;
-/// Positions on the x axis are grouped by this part of a unit.
+/// Steps per unit to which x values are rounded down when values are grouped.
 const X_RESOLUTION: f64 = 1000.0;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// Why a plot can't be drawn.
+/// An error of the drawing backend, with the title of the plot.
 #[derive(Debug, thiserror::Error)]
 #[error("{title}: {reason}")]
 pub struct PlotError {
@@ -40,20 +40,20 @@
     reason: String,
 }
 
-/// A line of a plot.
+/// A named line of a plot.
 pub(super) struct Line {
     pub name: String,
-    /// Positions (x, y), the least x first.
+    /// Points (x, y) in ascending order of x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A horizontal line that values are compared with.
+/// A horizontal reference line, such as a bound.
 pub(super) struct Reference<'a> {
     pub y: f64,
     pub name: &'a str,
 }
 
-/// A plot of lines.
+/// A line plot with labelled axes.
 pub(super) struct Plot<'a> {
     pub title: &'static str,
     pub x_label: &'a str,
@@ -62,7 +62,7 @@
     pub reference: Option<Reference<'a>>,
 }
 
-/// Ends of the axes; the y axis begins at zero.
+/// The ranges of the axes; the y axis begins at zero.
 struct Extent {
     x_min: f64,
     x_max: f64,
@@ -70,7 +70,7 @@
 }
 
 impl Plot<'_> {
-    /// Draws the plot.
+    /// Draws the plot and returns the SVG text.
     pub fn to_svg(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         {
@@ -151,12 +151,13 @@
     }
 }
 
-/// For each policy of a scenario: the second column over the first, joined over the seeds.
+/// One line for each policy of a scenario: the second column over the first. `aggregate` combines the values that all
+/// seeds have at the same x.
 pub(super) fn lines_by_policy(
     table: &Table,
     scenario: &str,
     [x_column, y_column]: [&str; 2],
-    join: fn(&[f64]) -> f64,
+    aggregate: fn(&[f64]) -> f64,
 ) -> Vec<Line> {
     let mut values: BTreeMap<&str, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     let runs = table.text_column("scenario").iter().zip(table.text_column("policy"));
@@ -170,7 +171,7 @@
     }
     let line = |(policy, points): (&str, BTreeMap<u64, Vec<f64>>)| Line {
         name: policy.to_owned(),
-        points: points.into_iter().map(|(x, values)| (x as f64 / X_RESOLUTION, join(&values))).collect(),
+        points: points.into_iter().map(|(x, values)| (x as f64 / X_RESOLUTION, aggregate(&values))).collect(),
     };
     values.into_iter().map(line).collect()
 }
--- a/crates/testbench/src/replay/faults.rs
+++ b/crates/testbench/src/replay/faults.rs
@@ -1,49 +1,50 @@
-//! Faults of a bench day as faults of a scenario.
+//! Converts faults of a bench day to faults of a scenario.
 
 use super::bench_day::{BenchDay, BenchFault};
 use super::scale::{partner_name, ReplayScale};
 use crate::scenario::FaultSettings;
 use std::collections::BTreeMap;
 
-/// Error shares from here on are played as a partner that is shut.
+/// From this share of errors on, the partner is played as unavailable (kind `shut`).
 const SHUT_ERROR_SHARE: f64 = 0.99;
-/// Most pauses that one fault is played as.
+/// Upper bound of the separate pauses that one fault is converted to.
 const MAX_PAUSES: u32 = 40;
 
-/// Faults by name.
+/// Scenario faults by name.
 type Faults = BTreeMap<String, FaultSettings>;
 
-/// Converts the faults of one day.
+/// Converts the faults of one bench day.
 pub(super) struct FaultConverter<'a> {
     pub day: &'a BenchDay,
-    /// Positions of the destinations that are kept.
+    /// Positions of the destinations that the scenario keeps as partners.
     pub partners: &'a [usize],
     pub scale: ReplayScale,
-    /// Gets a line for each fault that is left out or changed.
+    /// Receives a line for each fault that is left out or changed.
     pub omissions: &'a mut Vec<String>,
 }
 
 impl FaultConverter<'_> {
-    /// Converts a fault to one for each affected partner, or notes why it is left out.
+    /// Converts a fault to one scenario fault for each affected partner; if there is none, notes why.
     pub fn convert(&mut self, number: usize, fault: &BenchFault) -> Faults {
         let affected = self.affected_partners(fault);
-        let on_each = |kind: &str, size: f64| self.on_each(number, fault, kind, size, &affected);
+        let for_each_partner =
+            |kind: &str, size: f64| self.for_each_partner(number, fault, kind, size, &affected);
         let converted = match fault.kind.as_str() {
-            "hang" => on_each("silent", 1.0),
-            "crash" | "preempt" | "peer_down" => on_each("refuse", 1.0),
+            "hang" => for_each_partner("silent", 1.0),
+            "crash" | "preempt" | "peer_down" => for_each_partner("refuse", 1.0),
             "vanish" => {
-                let faults = on_each("refuse", 1.0);
+                let faults = for_each_partner("refuse", 1.0);
                 self.omit(number, "vanish: played as refused connections, not as lost packets");
                 faults
             }
-            "fast_errors" if fault.size >= SHUT_ERROR_SHARE => on_each("shut", 1.0),
-            "fast_errors" => on_each("errors", fault.size),
-            "slow" => on_each("slow", fault.size.max(1.0)),
-            "shared_slow" => self.on_each(number, fault, "slow", fault.size.max(1.0), self.partners),
-            "answer_lost" => on_each("lose-answers", fault.size.clamp(0.05, 0.9)),
-            "idle_reap" => on_each("reap", fault.size / self.scale.speed),
+            "fast_errors" if fault.size >= SHUT_ERROR_SHARE => for_each_partner("shut", 1.0),
+            "fast_errors" => for_each_partner("errors", fault.size),
+            "slow" => for_each_partner("slow", fault.size.max(1.0)),
+            "shared_slow" => self.for_each_partner(number, fault, "slow", fault.size.max(1.0), self.partners),
+            "answer_lost" => for_each_partner("lose-answers", fault.size.clamp(0.05, 0.9)),
+            "idle_reap" => for_each_partner("reap", fault.size / self.scale.speed),
             "pauses" => {
-                let pauses = self.pauses(fault, on_each("late", fault.size / 1000.0));
+                let pauses = self.pauses(fault, for_each_partner("late", fault.size / 1000.0));
                 self.omit(number, &format!("pauses: played as answers {:.0} ms late", fault.size));
                 pauses
             }
@@ -55,14 +56,14 @@
                 self.omit(number, &format!("{}: one gateway is killed", fault.kind));
                 Faults::from([(format!("{number} {}", fault.kind), self.gateway_kill(number, fault))])
             }
-            "deploy" => on_each("drain", 1.0),
+            "deploy" => for_each_partner("drain", 1.0),
             other => {
                 self.omit(number, &format!("{other}: not played"));
                 return Faults::new();
             }
         };
         if converted.is_empty() {
-            self.omit(number, &format!("{}: strikes none of the partners that are kept", fault.kind));
+            self.omit(number, &format!("{}: affects none of the partners that are kept", fault.kind));
         }
         converted
     }
@@ -73,17 +74,17 @@
 
     fn affected_partners(&self, fault: &BenchFault) -> Vec<usize> {
         let is_affected = |partner: &usize| {
-            let servers = fault.on.iter().filter_map(|server| self.day.servers.get(*server));
-            servers.into_iter().any(|server| server.cell == *partner)
+            let servers = fault.servers.iter().filter_map(|server| self.day.servers.get(*server));
+            servers.into_iter().any(|server| server.destination == *partner)
         };
         self.partners.iter().copied().filter(is_affected).collect()
     }
 
-    /// A fault of the same times that names no partner or gateway.
+    /// A scenario fault with the times of the bench fault, without a partner or gateway.
     fn settings(&self, fault: &BenchFault, kind: &str, size: f64) -> FaultSettings {
         FaultSettings {
             at: self.scale.seconds(fault.at),
-            duration: self.scale.seconds(fault.len),
+            duration: self.scale.seconds(fault.duration),
             jitter: 0.0,
             partner: None,
             zone: None,
@@ -94,7 +95,7 @@
         }
     }
 
-    fn on_each(
+    fn for_each_partner(
         &self,
         number: usize,
         fault: &BenchFault,
@@ -110,12 +111,12 @@
         partners.iter().map(one).collect()
     }
 
-    /// A short fault for each pause, in place of one for the whole time.
-    fn pauses(&self, fault: &BenchFault, whole: Faults) -> Faults {
+    /// Replaces each fault by a series of short ones, one for each pause.
+    fn pauses(&self, fault: &BenchFault, continuous: Faults) -> Faults {
         let gap = (fault.extra / self.scale.speed).max(0.3);
         let duration = (fault.size / 1000.0).min(gap * 0.8);
         let mut pauses = Faults::new();
-        for (name, settings) in whole {
+        for (name, settings) in continuous {
             let end = settings.at + settings.duration;
             for pause in 0..MAX_PAUSES {
                 let at = settings.at + f64::from(pause) * gap;
--- a/crates/testbench/src/replay/scale.rs
+++ b/crates/testbench/src/replay/scale.rs
@@ -1,19 +1,19 @@
-//! The scale at which a bench day is played.
+//! The scale at which a bench day is converted.
 
-/// Microseconds, the bench's unit of time, in a second.
+/// Microseconds per second; bench days give times in microseconds.
 const US_PER_S: f64 = 1e6;
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 pub(super) const US_PER_MS: f64 = 1000.0;
-/// What is kept of a bench day's size.
+/// The size and speed of the converted scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplayScale {
-    /// Number of partners, those with the most traffic.
+    /// Maximum number of partners; the destinations with the most traffic are kept.
     pub partners: usize,
-    /// Number of gateways.
+    /// Number of gateway processes in the scenario.
     pub gateways: usize,
-    /// Messages a second.
+    /// Messages per second in the scenario.
     pub rate: f64,
-    /// Bench seconds in one second of the scenario.
+    /// Factor by which times are shortened: bench seconds per second of the scenario.
     pub speed: f64,
 }
 
@@ -24,18 +24,18 @@
 }
 
 impl ReplayScale {
-    /// Seconds of the scenario for microseconds of the bench.
+    /// Converts microseconds of the bench to seconds of the scenario.
     pub(super) fn seconds(self, micros: f64) -> f64 {
         micros / US_PER_S / self.speed
     }
 
-    /// Milliseconds of the scenario for microseconds of the bench.
+    /// Converts microseconds of the bench to milliseconds of the scenario, rounded down.
     pub(super) fn milliseconds(self, micros: f64) -> u64 {
         (micros / US_PER_MS / self.speed) as u64
     }
 }
 
-/// The name of the partner that plays a destination of the bench.
+/// The name of the partner that stands for the destination at this position.
 pub(super) fn partner_name(position: usize) -> String {
     format!("dest-{position:03}")
 }
--- a/crates/testbench/tests/invariants.rs
+++ b/crates/testbench/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant is violated in a forged record, and found; the record without the forgery is clean.
+//! For each invariant, a record that violates it is reported, and the same record without the violation is not.
 
 use cloverstile_as2_gateway::test_cluster::gateway_name;
 use cloverstile_fakes::record::{ObservedEvent, RecordLine, ReportedOutcome, RequestEnd};
@@ -58,7 +58,7 @@
         self.at(ms, ObservedEvent::Accepted { id: id.to_owned(), gateway: 0 })
     }
 
-    /// A request from begin to end.
+    /// A request that arrives at `from` and ends at `to`, in milliseconds.
     fn request(&mut self, from: u64, to: u64, id: &str, endpoint: usize, end: RequestEnd) -> &mut Self {
         self.requests += 1;
         let (id, gateway, partner) = (id.to_owned(), gateway_name(0), "bank".to_owned());
@@ -81,7 +81,7 @@
         check_invariants(&lines, &settings())
     }
 
-    /// The invariants found violated, each once.
+    /// Names of the violated invariants, without consecutive duplicates.
     fn violated(&self) -> Vec<&'static str> {
         let report = self.report();
         let mut names: Vec<_> =
@@ -91,8 +91,9 @@
     }
 }
 
-/// A payment delivered, a notice repeated inside window and group, a second notice in its order.
-fn good() -> Record {
+/// A record without violations: a delivered payment, a notice that is repeated inside its retry window and group, and a
+/// second notice of the same order key that waits for it.
+fn valid_record() -> Record {
     let mut record = Record::default();
     record.submit(0, "p", "pay").request(10, 30, "p", 0, RequestEnd::Rejected(None));
     record.request(400, 430, "p", 1, RequestEnd::Processed).effect(425, "p").answer(
@@ -114,38 +115,38 @@
 
 #[test]
 fn valid_record_has_no_violation() {
-    let report = good().report();
+    let report = valid_record().report();
     assert_eq!((report.violations, report.messages, report.delivered), (vec![], 3, 3));
 }
 
 #[test]
 fn missing_or_late_outcome_is_a_violation() {
-    let mut silent = good();
-    silent
+    let mut unanswered = valid_record();
+    unanswered
         .lines
         .retain(|line| !matches!(&line.event, ObservedEvent::OutcomeReceived { id, .. } if id == "n1"));
-    assert_eq!(silent.violated(), ["lost"]);
-    let mut late = good();
+    assert_eq!(unanswered.violated(), ["lost"]);
+    let mut late = valid_record();
     late.submit(2000, "q", "pay").answer(7400, "q", ReportedOutcome::Rejected);
     assert_eq!((late.violated(), late.report().late_answers), (vec!["lost"], 1));
 }
 
 #[test]
 fn changed_outcome_and_request_after_outcome_are_violations() {
-    let mut two = good();
-    two.answer(2000, "p", ReportedOutcome::Failed);
-    assert_eq!(two.violated(), ["lost"]);
-    let mut after = good();
+    let mut changed = valid_record();
+    changed.answer(2000, "p", ReportedOutcome::Failed);
+    assert_eq!(changed.violated(), ["lost"]);
+    let mut after = valid_record();
     after.request(700, 720, "p", 0, RequestEnd::Rejected(None));
     assert!(after.violated().contains(&"lost"));
-    let mut unclear = good();
+    let mut unclear = valid_record();
     unclear.submit(2000, "q", "pay").answer(2100, "q", ReportedOutcome::Unclear);
     assert_eq!(unclear.violated(), ["lost"]);
 }
 
 #[test]
 fn repeated_effect_and_forbidden_repeat_are_violations() {
-    let mut twice = good();
+    let mut twice = valid_record();
     twice.effect(1590, "n1");
     assert_eq!((twice.violated(), twice.report().repeated_effects), (vec!["twice"], 1));
     let mut again = Record::default();
@@ -160,14 +161,14 @@
     late.submit(0, "n", "notice").request(10, 100, "n", 0, RequestEnd::ClientClosed);
     late.request(2100, 2130, "n", 0, RequestEnd::Processed).answer(2140, "n", ReportedOutcome::Delivered);
     assert_eq!(late.violated(), ["twice"]);
-    let mut elsewhere = Record::default();
-    elsewhere.submit(0, "n", "notice").request(10, 100, "n", 0, RequestEnd::ClientClosed);
-    elsewhere.request(900, 930, "n", 1, RequestEnd::Processed).answer(940, "n", ReportedOutcome::Delivered);
-    assert_eq!(elsewhere.violated(), ["twice"]);
-    let mut side = Record::default();
-    side.submit(0, "s", "status").request(10, 900, "s", 0, RequestEnd::Processed);
-    side.request(300, 330, "s", 1, RequestEnd::Processed).answer(940, "s", ReportedOutcome::Delivered);
-    assert_eq!(side.violated(), ["twice"]);
+    let mut other_zone = Record::default();
+    other_zone.submit(0, "n", "notice").request(10, 100, "n", 0, RequestEnd::ClientClosed);
+    other_zone.request(900, 930, "n", 1, RequestEnd::Processed).answer(940, "n", ReportedOutcome::Delivered);
+    assert_eq!(other_zone.violated(), ["twice"]);
+    let mut concurrent = Record::default();
+    concurrent.submit(0, "s", "status").request(10, 900, "s", 0, RequestEnd::Processed);
+    concurrent.request(300, 330, "s", 1, RequestEnd::Processed).answer(940, "s", ReportedOutcome::Delivered);
+    assert_eq!(concurrent.violated(), ["twice"]);
 }
 
 #[test]
@@ -191,22 +192,22 @@
 #[test]
 fn request_to_a_draining_endpoint_is_a_violation() {
     let listed = |ready| ObservedEvent::EndpointListed { partner: "bank".into(), endpoint: 1, ready };
-    let mut inside = good();
+    let mut inside = valid_record();
     inside.at(1000, listed(false));
     inside.at(1700, listed(true));
     assert!(inside.violated().is_empty());
-    let mut record = good();
+    let mut record = valid_record();
     record.at(1000, listed(false));
     assert_eq!(record.violated(), ["drain"]);
 }
 
 #[test]
 fn request_before_the_end_of_retry_after_is_a_violation_for_any_message() {
-    let mut record = good();
+    let mut record = valid_record();
     record.submit(1590, "s", "status").request(1595, 1610, "s", 0, RequestEnd::Rejected(Some(1000)));
     record.answer(4000, "s", ReportedOutcome::Rejected);
     assert_eq!(record.violated(), ["wait"]);
-    // A gateway killed in between comes back as another, which was told nothing.
+    // A gateway killed in between restarts as a new process that never received the `Retry-After`.
     record.at(1650, ObservedEvent::GatewayProcess { gateway: 0, running: false, killed: true });
     assert!(record.violated().is_empty());
 }
@@ -228,18 +229,18 @@
 #[test]
 fn overloading_a_recovering_partner_is_a_violation() {
     let outage = |began| ObservedEvent::Outage { partner: "bank".into(), zone: None, began };
-    let scenario = |every: u64| {
+    let recovery = |interval_ms: u64| {
         let mut record = Record::default();
         record.at(1000, outage(true)).at(2000, outage(false));
         record.submit(900, "first", "status").request(1500, 1900, "first", 0, RequestEnd::ClientClosed);
         record.answer(2500, "first", ReportedOutcome::Rejected);
         for number in 0..20 {
-            let (id, at) = (format!("s{number}"), 2010 + number * every);
+            let (id, at) = (format!("s{number}"), 2010 + number * interval_ms);
             record.submit(900, &id, "status").request(at, at + 5, &id, 0, RequestEnd::Processed);
             record.answer(at + 6, &id, ReportedOutcome::Delivered);
         }
         record
     };
-    assert_eq!(scenario(20).violated(), ["fail-back"]);
-    assert!(scenario(150).violated().is_empty());
+    assert_eq!(recovery(20).violated(), ["fail-back"]);
+    assert!(recovery(150).violated().is_empty());
 }
--- a/crates/testbench/tests/replay.rs
+++ b/crates/testbench/tests/replay.rs
@@ -1,4 +1,4 @@
-//! A bench day becomes a fault scenario; what can't be played is listed.
+//! A bench day is converted to a fault scenario, and faults that can't be converted are listed.
 
 use cloverstile_fakes::model::Fault;
 use cloverstile_testbench::replay::{convert_bench_day, ReplayScale};
@@ -32,7 +32,7 @@
     json!({ "kind": kind, "at": 6e6, "len": 9e6, "size": size, "extra": 3.0, "on": on })
 }
 
-/// A fault of the first partner, in all its zones.
+/// A fault of partner 0 in all its zones.
 fn partner_fault(fault: Fault) -> FaultEvent {
     FaultEvent::Partner { partner: 0, fault, zone: None }
 }
@@ -47,7 +47,8 @@
     let scenario = &replay.scenario;
     assert_eq!((scenario.messages, scenario.gateways, scenario.partners.len()), (2000, 3, 2));
     assert_eq!((scenario.classes["pay"].deadline, scenario.classes["note"].retry_window), (8.0, 3.0));
-    // Sent 37.5 of the 60 that it takes; at our rate 150, so that it must take 240.
+    // The destination gets 37.5 messages per second with a limit of 60. At the scenario's 150 per second, the same
+    // utilization needs a limit of 240.
     assert_eq!(scenario.partners["dest-001"].limit, Some(240.0));
     assert_eq!((scenario.partners["dest-000"].endpoints, scenario.partners["dest-000"].batch), (2, 2));
     assert!(replay.omissions[0].contains("4 gateways"));
@@ -74,9 +75,9 @@
             convert_bench_day(&bench_day(&json!([bench_fault(kind, size, &[1])])), ReplayScale::default())
                 .unwrap();
         let schedule = replay.scenario.fault_schedule().unwrap();
-        assert_eq!(schedule.first().map(|played| played.event), event, "{kind}");
-        if let Some(played) = schedule.first() {
-            assert_eq!(played.at, 2.0, "{kind}");
+        assert_eq!(schedule.first().map(|first_fault| first_fault.event), event, "{kind}");
+        if let Some(first_fault) = schedule.first() {
+            assert_eq!(first_fault.at, 2.0, "{kind}");
         } else {
             assert!(replay.omissions.iter().any(|line| line.contains("not played")), "{kind}");
         }
@@ -84,6 +85,6 @@
     let elsewhere =
         convert_bench_day(&bench_day(&json!([bench_fault("hang", 0.0, &[])])), ReplayScale::default())
             .unwrap();
-    assert!(elsewhere.omissions.iter().any(|line| line.contains("strikes none")));
+    assert!(elsewhere.omissions.iter().any(|line| line.contains("affects none")));
     assert!(convert_bench_day("{}", ReplayScale::default()).is_err());
 }
--- a/crates/testbench/tests/socket_scenarios.rs
+++ b/crates/testbench/tests/socket_scenarios.rs
@@ -1,4 +1,5 @@
-//! Hard cases, each a small fault scenario over sockets with real gateway processes, checked from the records.
+//! Small fault scenarios with real gateway processes over sockets, each for one failure mode. The record of every run is
+//! checked against the invariants.
 
 use cloverstile_fakes::record::{ObservedEvent, ReportedOutcome, RequestEnd};
 use cloverstile_testbench::scenario::parse_scenario;
@@ -6,10 +7,10 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Scenarios are run one after another: on two cores they would slow each other down.
+/// Serializes the scenarios: on two cores, concurrent runs would slow each other down.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// Plays a scenario and demands that every message is answered and no invariant is violated.
+/// Runs a scenario, and asserts that every message is accounted for and no invariant is violated.
 fn run_and_check(name: &str, text: &str) -> RunResult {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let scenario = parse_scenario(text).unwrap();
@@ -28,11 +29,12 @@
     run
 }
 
+/// Time, endpoint and request number of each request, by message id.
 fn requests(run: &RunResult) -> HashMap<&str, Vec<(u64, usize, u64)>> {
     let mut all: HashMap<&str, Vec<(u64, usize, u64)>> = HashMap::new();
     for line in &run.lines {
-        if let ObservedEvent::RequestReceived { id, endpoint, request: call, .. } = &line.event {
-            all.entry(id).or_default().push((line.at, *endpoint, *call));
+        if let ObservedEvent::RequestReceived { id, endpoint, request: number, .. } = &line.event {
+            all.entry(id).or_default().push((line.at, *endpoint, *number));
         }
     }
     all
@@ -44,43 +46,43 @@
     "class \"pay-notice\" {\n share = 1\n effect = \"keyed\"\n window = 2\n aim = 0.5\n deadline = 3\n}\n";
 const ORDERED: &str = "class \"pay-notice\" {\n share = 1\n effect = \"keyed\"\n window = 2\n in_order = true\n keys = 12\n aim = 0.5\n deadline = 5\n}\n";
 
-fn script(messages: u32, rate: f64, rest: &str) -> String {
+fn scenario_text(messages: u32, rate: f64, rest: &str) -> String {
     format!("messages = {messages}\nrate = {rate}\ncouriers = 2\n{rest}")
 }
 
 #[test]
 fn unsafe_messages_fail_at_a_partner_that_never_answers() {
-    let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
+    let fault = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
                    trouble \"x\" {\n kind = \"silent\"\n partner = \"bank\"\n at = 0.4\n lasts = 1.5\n}\n";
-    let run = run_and_check("silent", &script(80, 60.0, &format!("{UNSAFE}{trouble}")));
+    let run = run_and_check("silent", &scenario_text(80, 60.0, &format!("{UNSAFE}{fault}")));
     assert!(run.report.failed > 0 && run.report.delivered > 0, "{:?}", run.report);
 }
 
 #[test]
 fn unsafe_message_with_a_truncated_answer_fails_and_is_never_retried() {
-    let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
+    let fault = "partner \"bank\" {\n share = 1\n servers = 8\n}\n\
                    trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.5\n partner = \"bank\"\n at = 0\n lasts = 9\n}\n";
-    let run = run_and_check("lost", &script(60, 80.0, &format!("{UNSAFE}{trouble}")));
+    let run = run_and_check("lost", &scenario_text(60, 80.0, &format!("{UNSAFE}{fault}")));
     assert!(run.report.failed > 10, "{:?}", run.report);
-    assert!(requests(&run).values().all(|tries| tries.len() == 1));
+    assert!(requests(&run).values().all(|attempts| attempts.len() == 1));
 }
 
 #[test]
 fn keyed_messages_are_retried_inside_their_window_and_fail_outside_it() {
-    let trouble = |size: f64, lasts: f64| {
+    let fault = |size: f64, lasts: f64| {
         format!(
             "partner \"bank\" {{\n share = 1\n servers = 8\n}}\n\
              trouble \"x\" {{\n kind = \"lose-answers\"\n size = {size}\n partner = \"bank\"\n at = 0\n lasts = {lasts}\n}}\n"
         )
     };
-    let inside = run_and_check("inside", &script(60, 80.0, &format!("{KEYED}{}", trouble(0.4, 9.0))));
+    let inside = run_and_check("inside", &scenario_text(60, 80.0, &format!("{KEYED}{}", fault(0.4, 9.0))));
     assert!(
         inside.report.requests > inside.report.messages && inside.report.delivered > 50,
         "{:?}",
         inside.report
     );
-    let outside = run_and_check("outside", &script(40, 80.0, &format!("{KEYED}{}", trouble(1.0, 20.0))));
-    // Messages never sent during the detected outage are rejected; those sent have failed.
+    let outside = run_and_check("outside", &scenario_text(40, 80.0, &format!("{KEYED}{}", fault(1.0, 20.0))));
+    // Once the outage is detected, messages that were never sent are rejected; those that were sent have failed.
     assert_eq!(outside.report.delivered, 0, "{:?}", outside.report);
     assert!(outside.report.failed > 5, "{:?}", outside.report);
 }
@@ -88,12 +90,13 @@
 #[test]
 fn keyed_message_stays_in_its_deduplication_group() {
     let class = KEYED.replace("effect", "group = \"zone\"\n effect");
-    let trouble = "partner \"bank\" {\n share = 1\n servers = 8\n zones = [0, 1]\n endpoints = 2\n}\n\
+    let fault = "partner \"bank\" {\n share = 1\n servers = 8\n zones = [0, 1]\n endpoints = 2\n}\n\
                    trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.5\n partner = \"bank\"\n at = 0\n lasts = 9\n}\n";
-    let run = run_and_check("group", &script(60, 80.0, &format!("{class}{trouble}")));
+    let run = run_and_check("group", &scenario_text(60, 80.0, &format!("{class}{fault}")));
     assert!(run.report.requests > run.report.messages, "{:?}", run.report);
-    let first: std::collections::HashSet<usize> = requests(&run).values().map(|tries| tries[0].1).collect();
-    assert_eq!(first.len(), 2, "both zones were used");
+    let first: std::collections::HashSet<usize> =
+        requests(&run).values().map(|attempts| attempts[0].1).collect();
+    assert_eq!(first.len(), 2, "both zones should be used for first attempts");
 }
 
 #[test]
@@ -106,10 +109,10 @@
         ("wrong-mic", 1.0, false),
         ("wrong-signer", 1.0, false),
     ] {
-        let trouble = format!(
+        let fault = format!(
             "trouble \"x\" {{\n kind = \"{kind}\"\n size = {size}\n partner = \"bank\"\n at = 0\n lasts = 20\n}}\n"
         );
-        let run = run_and_check(kind, &script(40, 60.0, &format!("{UNSAFE}{partner}{trouble}")));
+        let run = run_and_check(kind, &scenario_text(40, 60.0, &format!("{UNSAFE}{partner}{fault}")));
         let to_bank: Vec<&str> = run
             .lines
             .iter()
@@ -131,17 +134,17 @@
 #[test]
 fn resubmission_after_a_dropped_connection_gets_the_one_outcome() {
     let rest = "drops = 1\npartner \"bank\" {\n share = 1\n servers = 8\n}\n";
-    let run = run_and_check("drops", &script(60, 80.0, &format!("{rest}{UNSAFE}")));
+    let run = run_and_check("drops", &scenario_text(60, 80.0, &format!("{rest}{UNSAFE}")));
     assert_eq!((run.report.delivered, run.report.requests), (60, 60), "{:?}", run.report);
 }
 
 #[test]
 fn certificate_mismatch_fails_every_message_without_effect() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 8\n encrypted = true\n mismatched = true\n}\n";
-    // Errors begin an outage with single probe requests: with a short deadline the last of the twenty is rejected untried
-    // on a busy machine.
-    let patient = UNSAFE.replace("deadline = 2.5", "deadline = 12");
-    let run = run_and_check("mismatch", &script(20, 60.0, &format!("{patient}{rest}")));
+    // Errors start an outage with one probe request at a time. With a short deadline, the last of the twenty messages would
+    // be rejected without an attempt on a busy machine.
+    let long_deadline = UNSAFE.replace("deadline = 2.5", "deadline = 12");
+    let run = run_and_check("mismatch", &scenario_text(20, 60.0, &format!("{long_deadline}{rest}")));
     assert_eq!(run.report.failed, 20, "{:?}", run.report);
     assert!(!run.lines.iter().any(|line| matches!(line.event, ObservedEvent::EffectApplied { .. })));
 }
@@ -150,17 +153,17 @@
 fn draining_endpoint_completes_requests_in_flight_and_gets_no_new_ones() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 40\n service_ms = [250, 50]\n}\n\
                 trouble \"x\" {\n kind = \"drain\"\n partner = \"bank\"\n endpoint = 1\n at = 0.6\n lasts = 3\n}\n";
-    // With threads: a signal that one of them takes by itself would end the gateway.
-    let run = run_and_check("drain", &script(120, 60.0, &format!("workers = 2\n{UNSAFE}{rest}")));
+    // With worker threads: the reload signal would end the gateway if a worker thread received it.
+    let run = run_and_check("drain", &scenario_text(120, 60.0, &format!("workers = 2\n{UNSAFE}{rest}")));
     let drained = run.lines.iter().find_map(|line| match line.event {
         ObservedEvent::EndpointListed { ready: false, .. } => Some(line.at),
         _ => None,
     });
-    let drained = drained.expect("a drain");
+    let drained = drained.expect("the endpoint is listed as draining");
     let requests = requests(&run);
-    let ended = |call: u64| {
+    let ended = |number: u64| {
         run.lines.iter().find_map(|line| match line.event {
-            ObservedEvent::RequestEnded { request: other, end: how } if other == call => Some((line.at, how)),
+            ObservedEvent::RequestEnded { request, end } if request == number => Some((line.at, end)),
             _ => None,
         })
     };
@@ -168,11 +171,11 @@
         .values()
         .flatten()
         .filter(|(at, endpoint, _)| *endpoint == 1 && *at < drained)
-        .filter_map(|(.., call)| ended(*call))
+        .filter_map(|(.., number)| ended(*number))
         .filter(|(at, _)| *at > drained)
         .collect();
     assert!(
-        !in_flight.is_empty() && in_flight.iter().all(|(_, how)| *how == RequestEnd::Processed),
+        !in_flight.is_empty() && in_flight.iter().all(|(_, end)| *end == RequestEnd::Processed),
         "{in_flight:?}"
     );
 }
@@ -180,7 +183,7 @@
 #[test]
 fn retry_after_is_honoured_for_every_message() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 20\n limit = 15\n tells_wait = true\n}\n";
-    let run = run_and_check("wait", &script(150, 60.0, &format!("{KEYED}{rest}")));
+    let run = run_and_check("wait", &scenario_text(150, 60.0, &format!("{KEYED}{rest}")));
     let waits = run.lines.iter().filter(|line| {
         matches!(line.event, ObservedEvent::RequestEnded { end: RequestEnd::Rejected(Some(_)), .. })
     });
@@ -191,7 +194,7 @@
 fn ordered_messages_wait_behind_a_request_of_unknown_outcome() {
     let rest = "partner \"hr\" {\n share = 1\n servers = 8\n}\n\
                 trouble \"x\" {\n kind = \"lose-answers\"\n size = 0.3\n partner = \"hr\"\n at = 0\n lasts = 9\n}\n";
-    let run = run_and_check("order", &script(80, 60.0, &format!("{ORDERED}{rest}")));
+    let run = run_and_check("order", &scenario_text(80, 60.0, &format!("{ORDERED}{rest}")));
     assert!(run.report.requests > run.report.messages, "{:?}", run.report);
 }
 
@@ -199,11 +202,11 @@
 fn graceful_shutdown_at_full_load_answers_all_held_messages() {
     let rest = "partner \"bank\" {\n share = 1\n servers = 30\n service_ms = [100, 100]\n}\n\
                 trouble \"x\" {\n kind = \"stop\"\n courier = 1\n at = 0.8\n lasts = 5\n}\n";
-    let run = run_and_check("stop", &script(200, 100.0, &format!("{UNSAFE}{rest}")));
+    let run = run_and_check("stop", &scenario_text(200, 100.0, &format!("{UNSAFE}{rest}")));
     let stopped = run.lines.iter().any(|line| {
         matches!(line.event, ObservedEvent::GatewayProcess { gateway: 1, running: false, killed: false })
     });
-    assert!(stopped, "it exited after the graceful shutdown");
+    assert!(stopped, "the gateway did not exit after the graceful shutdown");
     assert_eq!(run.report.failed, 0, "{:?}", run.report);
 }
 
@@ -233,24 +236,24 @@
             _ => None,
         })
         .collect();
-    // Of each second: messages submitted or still waiting for the bank, and those that first reached its second site.
+    // For each second: messages submitted or still waiting for the bank, and messages that first reached its second zone.
     let mut seconds: HashMap<u64, (f64, f64)> = HashMap::new();
     let mut seen = std::collections::HashSet::new();
     for line in &run.lines {
         let ObservedEvent::Submitted { id, .. } = &line.event else { continue };
         if seen.insert(id.as_str()) {
-            let tries = requests.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let spilt = tries.iter().find(|(_, endpoint, _)| *endpoint >= 2).map(|(at, ..)| *at);
-            let over = spilt.or(answers.get(id.as_str()).copied()).unwrap_or(line.at);
-            for second in line.at / 1_000_000..=over / 1_000_000 {
+            let attempts = requests.get(id.as_str()).map_or(&[][..], Vec::as_slice);
+            let spilled_at = attempts.iter().find(|(_, endpoint, _)| *endpoint >= 2).map(|(at, ..)| *at);
+            let finished_at = spilled_at.or(answers.get(id.as_str()).copied()).unwrap_or(line.at);
+            for second in line.at / 1_000_000..=finished_at / 1_000_000 {
                 seconds.entry(second).or_default().0 += 1.0;
             }
-            if let Some(at) = spilt {
+            if let Some(at) = spilled_at {
                 seconds.entry(at / 1_000_000).or_default().1 += 1.0;
             }
         }
     }
-    // A share of whole messages: each of the three gateways may be one ahead.
+    // Only whole messages spill, so each of the three gateways may exceed its share by one.
     for (second, (all, spills)) in &seconds {
         assert!(*spills <= all * 0.3 + 3.0, "second {second}: {spills} of {all}");
     }
@@ -260,7 +263,7 @@
 
 #[test]
 fn eight_gateways_together_never_overload_a_recovering_zone() {
-    // A small site that recovers cold in a surge, when every gateway has messages waiting for it.
+    // A small zone recovers with reduced capacity during a surge, while every gateway has messages waiting for it.
     let text = "messages = 1500\nrate = 90\ncouriers = 8\n\
         class \"salary-payment\" {\n share = 0.5\n effect = \"unsafe\"\n aim = 1\n deadline = 8\n worth = 3\n}\n\
         class \"pay-notice\" {\n share = 0.5\n effect = \"keyed\"\n group = \"zone\"\n window = 6\n in_order = true\n aim = 1\n deadline = 8\n}\n\
@@ -272,7 +275,7 @@
         cloverstile_testbench::recovery_windows::recovery_windows(&parse_scenario(text).unwrap(), &run.lines);
     assert!(windows.len() >= 70, "{} windows", windows.len());
     let received: u32 = windows.iter().map(|window| window.received).sum();
-    assert!(received > 200, "{received} requests at the returning site");
+    assert!(received > 200, "{received} requests at the recovering zone");
     let over: Vec<_> = windows.iter().filter(|window| window.exceeds_bound()).collect();
     assert!(over.is_empty(), "{over:?}");
 }
