--- a/examples/experiments/surge.hcl
+++ b/examples/experiments/surge.hcl
@@ -1,3 +1,3 @@
-# A site lost and back cold in a payday surge, eight couriers, all four policies.
+# A site goes down, recovers and has to warm up during a payday burst: eight gateway instances, all four policies.
 seeds = 100
 scenario "surge" {}
--- a/examples/three-banks.hcl
+++ b/examples/three-banks.hcl
@@ -1,11 +1,11 @@
-# Three banks, two of which meet in one zone if the other is lost. Try:
+# Three banks. If Kingston or Montego Bay is lost, two of them share the other zone. Plan their capacity with:
 #
 #   cloverstile plan --two examples/three-banks.hcl
 #
-# Keys are not read for that.
+# This command does not read the key and certificate files.
 zones = ["kingston", "montego-bay", "nassau"]
 
-# The line into Montego Bay, for all partners together.
+# Rate limit of the line into Montego Bay, for all partners together, in requests per second.
 zone "montego-bay" { rate = 260 }
 
 courier {
