--- a/crates/load-metrics/src/balance.rs
+++ b/crates/load-metrics/src/balance.rs
@@ -70,13 +70,13 @@
     let mut counts: BTreeMap<(usize, usize), BTreeMap<usize, u32>> = BTreeMap::new();
     for call in &record.calls {
         let partner = record.endpoints[call.endpoint].partner;
-        let number = (call.at.as_nanos() / window.as_nanos().max(1)) as usize;
-        *counts.entry((partner, number)).or_default().entry(call.endpoint).or_default() += 1;
+        let window_index = (call.at.as_nanos() / window.as_nanos().max(1)) as usize;
+        *counts.entry((partner, window_index)).or_default().entry(call.endpoint).or_default() += 1;
     }
     let partners = record.endpoints_by_partner();
     let mut loads = Vec::new();
-    for ((partner, number), counts) in counts {
-        let (from, until) = (window * number as u32, window * (number as u32 + 1));
+    for ((partner, window_index), counts) in counts {
+        let (from, until) = (window * window_index as u32, window * (window_index as u32 + 1));
         // Weighted by the time within the window in which the endpoint was in service.
         let weighted_time = |index: usize| {
             let endpoint = &record.endpoints[index];
--- a/crates/load-metrics/src/idle.rs
+++ b/crates/load-metrics/src/idle.rs
@@ -67,13 +67,13 @@
     (from, until): (Duration, Duration),
 ) -> f64 {
     let index_at = |at: Duration| calls.partition_point(|call| call.at < at);
-    let (mut since, mut at) = (index_at(from), from);
+    let (mut previous, mut previous_at) = (index_at(from), from);
     let ends = own_calls.iter().map(|index| (*index, calls[*index].at)).chain([(index_at(until), until)]);
     for (next, next_at) in ends.filter(|(_, next_at)| from <= *next_at && *next_at <= until) {
-        if endpoint.weight * (expected[next.max(since)] - expected[since]) > MAX_EXPECTED_CALLS_IN_GAP {
-            idle += next_at.saturating_sub(at).as_secs_f64();
+        if endpoint.weight * (expected[next.max(previous)] - expected[previous]) > MAX_EXPECTED_CALLS_IN_GAP {
+            idle += next_at.saturating_sub(previous_at).as_secs_f64();
         }
-        (since, at) = (next, next_at);
+        (previous, previous_at) = (next, next_at);
     }
     idle
 }
--- a/crates/simulator/src/failover/simulation.rs
+++ b/crates/simulator/src/failover/simulation.rs
@@ -43,12 +43,13 @@
     Restart { instance: u32 },
 }
 
-/// Response in transit. The remaining rate limit is in millionths of a request: events must be `Ord`, which `f64` is
-/// not.
+/// Response in transit. Remaining rate limits are in millionths of a request: events must be `Ord`, which `f64` is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SiteResponse {
+    /// Contains the remaining rate limit.
     Processed(Option<u32>),
     Error,
+    /// Contains the `Retry-After` and the remaining rate limit.
     Rejected(Option<Duration>, Option<u32>),
     Reset,
     NoConnection,
@@ -58,6 +59,7 @@
     destination: u32,
     tier: usize,
     zone: ZoneId,
+    /// Requests per second that the warm site can serve.
     rate: f64,
     model: PartnerModel,
     /// Start of the recovery whose windows are being counted.
@@ -112,6 +114,7 @@
     endpoints: Vec<SiteEndpoint>,
     scheduled_faults: Vec<ScheduledFault>,
     health_checks: HealthChecks,
+    /// Current multiple of the scenario's submission rate.
     burst_factor: f64,
     /// Attempts whose response the instance still waits for.
     in_flight: HashSet<(u32, u32, Attempt)>,
--- a/crates/simulator/src/failover/simulation/setup.rs
+++ b/crates/simulator/src/failover/simulation/setup.rs
@@ -15,16 +15,18 @@
 impl Simulation<'_> {
     pub(super) fn build_destinations(&mut self, rng: &mut ChaCha8Rng) {
         let scenario = self.scenario;
-        let total: usize = scenario.destinations.values().map(|destination| destination.copies).sum();
-        let mut next = total;
+        let destination_count: usize =
+            scenario.destinations.values().map(|destination| destination.copies).sum();
+        let mut next_lower_tier_id = destination_count;
         let mut zones: HashMap<String, ZoneId> = HashMap::new();
         for (destination_name, destination) in &scenario.destinations {
             let mut tiers: Vec<(&String, &SiteSpec)> = destination.sites.iter().collect();
             tiers.sort_by_key(|(_, site)| site.tier);
             for _ in 0..destination.copies {
                 let number = self.destinations.len();
-                let lower_tier_ids: Vec<usize> = (next..next + tiers.len() - 1).collect();
-                next += lower_tier_ids.len();
+                let lower_tier_ids: Vec<usize> =
+                    (next_lower_tier_id..next_lower_tier_id + tiers.len() - 1).collect();
+                next_lower_tier_id += lower_tier_ids.len();
                 let destinations: Vec<DestinationId> = std::iter::once(number)
                     .chain(lower_tier_ids)
                     .map(|id| DestinationId(id as u16))
@@ -32,8 +34,8 @@
                 let mut sites = Vec::new();
                 for (name, site) in &tiers {
                     let zone = site.zone.clone().unwrap_or_else(|| format!("{destination_name}/{name}"));
-                    let next = ZoneId(zones.len() as u8);
-                    let zone = *zones.entry(zone).or_insert(next);
+                    let new_zone = ZoneId(zones.len() as u8);
+                    let zone = *zones.entry(zone).or_insert(new_zone);
                     let profile = scenario.server_profile(site);
                     let rate = profile.rate();
                     let id = self.sites.len() as u32;
@@ -70,16 +72,19 @@
     }
 
     pub(super) fn schedule_faults(&mut self, rng: &mut ChaCha8Rng) {
-        let mut first = 0;
-        let mut ranges = HashMap::new();
+        let mut next_index = 0;
+        let mut index_ranges = HashMap::new();
         for (name, destination) in &self.scenario.destinations {
-            ranges.insert(name, first..first + destination.copies);
-            first += destination.copies;
+            index_ranges.insert(name, next_index..next_index + destination.copies);
+            next_index += destination.copies;
         }
         for spec in self.scenario.faults.values() {
             let Some(kind) = spec.fault_kind() else { continue };
-            let affected_destinations =
-                spec.destination.as_ref().and_then(|name| ranges.get(name).cloned()).unwrap_or(0..first);
+            let affected_destinations = spec
+                .destination
+                .as_ref()
+                .and_then(|name| index_ranges.get(name).cloned())
+                .unwrap_or(0..next_index);
             let sites = affected_destinations
                 .filter_map(|destination| self.destinations[destination].0.get(spec.tier).copied())
                 .collect();
--- a/crates/simulator/src/failover/spillover_baseline.rs
+++ b/crates/simulator/src/failover/spillover_baseline.rs
@@ -49,9 +49,9 @@
 /// Consecutive request failures after which an endpoint is ejected.
 const CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Time for which an endpoint must be down to be ejected: three failed health checks, one per second.
+/// Time after which an endpoint that is down is ejected: three failed health checks, one per second.
 const FAILED_CHECKS_DELAY: Duration = Duration::from_secs(3);
-/// Time for which an endpoint must be up to be readmitted: one successful health check.
+/// Time after which an endpoint that is up again is readmitted: one successful health check.
 const SUCCESSFUL_CHECK_DELAY: Duration = Duration::from_secs(1);
 
 /// Ground truth for active health checks, set by the simulation: whether each endpoint is up, and since when.
@@ -71,17 +71,18 @@
     }
 }
 
+/// Health of an endpoint according to the results of requests.
 #[derive(Default)]
-struct Health {
-    /// Consecutive failures.
-    failures: u32,
+struct EndpointHealth {
+    consecutive_failures: u32,
     ejected: bool,
     /// Time of the first successful response after an ejection.
     recovered_at: Option<Time>,
 }
 
-struct TierSpread {
-    tiers: TierConfig,
+/// Tiers of a destination and the state of the distribution over them.
+struct DestinationTiers {
+    config: TierConfig,
     /// Endpoints of each tier.
     endpoints: Vec<Vec<EndpointId>>,
     /// Accumulated fraction of a message to pass on to the next tier; at 1, a message is passed on.
@@ -95,8 +96,8 @@
 pub struct HealthyShare {
     checks: HealthChecks,
     slow_start: Duration,
-    health: BTreeMap<EndpointId, Health>,
-    destinations: BTreeMap<DestinationId, TierSpread>,
+    health: BTreeMap<EndpointId, EndpointHealth>,
+    destinations: BTreeMap<DestinationId, DestinationTiers>,
 }
 
 impl HealthyShare {
@@ -106,15 +107,15 @@
         slow_start: Duration,
         destinations: Vec<(TierConfig, Vec<Vec<EndpointId>>)>,
     ) -> Self {
-        let spread = |(tiers, endpoints): (TierConfig, Vec<Vec<EndpointId>>)| {
-            let preferred = *tiers.destinations.first()?;
-            Some((preferred, TierSpread { tiers, endpoints, credit: 0.0 }))
+        let with_preferred_tier = |(config, endpoints): (TierConfig, Vec<Vec<EndpointId>>)| {
+            let preferred = *config.destinations.first()?;
+            Some((preferred, DestinationTiers { config, endpoints, credit: 0.0 }))
         };
         HealthyShare {
             checks,
             slow_start,
             health: BTreeMap::new(),
-            destinations: destinations.into_iter().filter_map(spread).collect(),
+            destinations: destinations.into_iter().filter_map(with_preferred_tier).collect(),
         }
     }
 
@@ -131,7 +132,7 @@
         };
         let by_requests = match self.health.get(&endpoint) {
             Some(health) if health.ejected => 0.0,
-            Some(Health { recovered_at: Some(since), .. }) => slow_start_share(*since),
+            Some(EndpointHealth { recovered_at: Some(since), .. }) => slow_start_share(*since),
             _ => 1.0,
         };
         by_checks.min(by_requests)
@@ -140,41 +141,41 @@
 
 impl FailoverPolicy for HealthyShare {
     fn select_tier(&mut self, now: Time, destination: DestinationId) -> DestinationId {
-        let Some(spread) = self.destinations.get(&destination) else { return destination };
+        let Some(tiers) = self.destinations.get(&destination) else { return destination };
         let health = |endpoints: &Vec<EndpointId>| {
             let sum: f64 = endpoints.iter().map(|endpoint| self.weight(now, *endpoint)).sum();
             (OVERPROVISIONING * sum / endpoints.len().max(1) as f64).min(1.0)
         };
-        let shares: Vec<f64> = spread.endpoints.iter().map(health).collect();
-        let Some(spread) = self.destinations.get_mut(&destination) else { return destination };
+        let shares: Vec<f64> = tiers.endpoints.iter().map(health).collect();
+        let Some(tiers) = self.destinations.get_mut(&destination) else { return destination };
         // Each tier takes its share of the remaining messages; if no tier has a healthy endpoint, the first takes all.
-        let last = spread.tiers.destinations.len() - 1;
+        let last = tiers.config.destinations.len() - 1;
         if shares.iter().sum::<f64>() <= 0.0 {
             return destination;
         }
-        for (tier, share) in shares.iter().enumerate().take(last) {
-            spread.credit += 1.0 - share;
-            if spread.credit < 1.0 {
-                return spread.tiers.destinations[tier];
+        for (index, share) in shares.iter().enumerate().take(last) {
+            tiers.credit += 1.0 - share;
+            if tiers.credit < 1.0 {
+                return tiers.config.destinations[index];
             }
-            spread.credit -= 1.0;
+            tiers.credit -= 1.0;
         }
-        spread.tiers.destinations[last]
+        tiers.config.destinations[last]
     }
 
     fn on_request_completed(&mut self, now: Time, result: RequestResult) {
         let health = self.health.entry(result.endpoint).or_default();
         match result.outcome {
             AttemptOutcome::Ok => {
-                health.failures = 0;
+                health.consecutive_failures = 0;
                 if std::mem::take(&mut health.ejected) {
                     health.recovered_at = Some(now);
                 }
             }
             AttemptOutcome::Rejected(_) | AttemptOutcome::Unsent => {}
             _ => {
-                health.failures += 1;
-                health.ejected |= health.failures >= CONSECUTIVE_FAILURES;
+                health.consecutive_failures += 1;
+                health.ejected |= health.consecutive_failures >= CONSECUTIVE_FAILURES;
             }
         }
     }
--- a/crates/simulator/src/load_balance/baseline_client.rs
+++ b/crates/simulator/src/load_balance/baseline_client.rs
@@ -70,7 +70,7 @@
 pub enum Action {
     /// Send a message to an endpoint.
     Send { message: u32, endpoint: usize },
-    /// Ask an endpoint for its present load.
+    /// Ask an endpoint for its current load.
     Probe { endpoint: usize },
     /// Give up a message that has not been delivered; `may_have_run` tells whether it may have taken effect.
     Expire { message: u32, may_have_run: bool },
--- a/crates/simulator/src/load_balance/partners.rs
+++ b/crates/simulator/src/load_balance/partners.rs
@@ -62,7 +62,7 @@
     /// Either one limit that all endpoints share, or one for each endpoint in the order of `endpoints`; empty without
     /// a limit.
     pub limits: Vec<SharedLimit>,
-    /// Present multiple of the usual rate of `limits`.
+    /// Current multiple of the usual rate of `limits`.
     limit_factor: f64,
 }
 
@@ -229,7 +229,7 @@
         self.limit(endpoint).map_or(capacity, |(limit, _)| limit.rate())
     }
 
-    /// Freezes the reports of load and limits at their present values, or resumes them.
+    /// Freezes the reports of load and limits at their current values, or resumes them.
     pub fn freeze_reports(&mut self, frozen: bool) {
         self.reports_frozen = frozen;
         for limit in self.partners.iter_mut().flat_map(|partner| &mut partner.limits) {
--- a/crates/simulator/src/load_balance/scenario.rs
+++ b/crates/simulator/src/load_balance/scenario.rs
@@ -52,7 +52,7 @@
     pub class: BTreeMap<String, ClassSpec>,
     /// Partners, by name.
     pub partner: BTreeMap<String, PartnerSpec>,
-    /// Faults, by a free name that only describes them.
+    /// Faults, by a descriptive name.
     #[serde(default)]
     #[serde(rename = "trouble")]
     pub faults: BTreeMap<String, LoadBalanceFaultSpec>,
@@ -193,7 +193,7 @@
     FrozenReports,
     /// A share of each partner's endpoints is replaced by new ones that have to warm up.
     EndpointReplacement,
-    /// A share of the instances is lost and restarts.
+    /// A share of the instances crashes and restarts without its state.
     InstanceRestart,
 }
 
--- a/crates/simulator/src/load_balance/simulation.rs
+++ b/crates/simulator/src/load_balance/simulation.rs
@@ -23,7 +23,7 @@
 /// Each instance receives a change of advertised limits within this time. Updates that replace endpoints use the
 /// duration of their fault instead.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(2);
-/// Time from the loss of an instance to its restart, when its clients resubmit their pending messages.
+/// Time from the crash of an instance to its restart, when its clients resubmit their pending messages.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 /// Extra network delay from the affected instances to the affected endpoints during a `slow-for` fault.
 const SLOW_PATH_DELAY: Duration = Duration::from_millis(500);
@@ -127,7 +127,7 @@
     EndpointListUpdate {
         instance: u32,
     },
-    /// A lost instance is back.
+    /// A crashed instance restarts.
     InstanceRestarted {
         instance: u32,
     },
@@ -164,7 +164,7 @@
     load_report: LoadReport,
 }
 
-/// Implementation of the client policy in one instance.
+/// The client of one instance, as the client policy requires.
 enum OutboundClient {
     Engine(Box<Engine>),
     Baseline(Box<BaselineClient>),
@@ -173,7 +173,7 @@
 /// A gateway instance.
 struct Gateway {
     client: OutboundClient,
-    /// Number of times that the instance was lost.
+    /// Number of times that the instance has crashed.
     epoch: u32,
     /// When the scheduled timer fires.
     next_timer: Option<Duration>,
@@ -187,7 +187,7 @@
     idle_connections: HashMap<usize, Vec<Duration>>,
     /// Number of endpoint removals in the list that it received last.
     known_removals: usize,
-    /// Lost and not yet restarted.
+    /// Whether the instance has crashed and not yet restarted.
     down: bool,
 }
 
@@ -372,10 +372,10 @@
     /// Records the final outcome, an index into [`LoadBalanceRun::outcome_counts`]: 0 delivered, 1 rejected, 2 failed.
     fn complete(&mut self, number: u32, outcome: usize) {
         self.stop_waiting(number);
-        let slack = Duration::from_secs_f64(self.scenario.rules.outcome_grace);
+        let grace = Duration::from_secs_f64(self.scenario.rules.outcome_grace);
         let now = self.now;
         let message = &mut self.messages[number as usize];
-        if message.completed || now > message.deadline + slack {
+        if message.completed || now > message.deadline + grace {
             self.run.violations.missing_or_late_outcomes += 1;
         }
         if message.completed {
--- a/crates/simulator/src/load_balance/simulation/gateways.rs
+++ b/crates/simulator/src/load_balance/simulation/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateway instances of a run: submissions, commands, endpoint list updates, loss and restart.
+//! Gateway instances of a run: submissions, commands, endpoint list updates, crash and restart.
 
 use super::{
     virtual_time, CallState, ClientPolicy, Event, Gateway, OutboundClient, Simulation, MAX_UPDATE_DELAY,
@@ -67,7 +67,7 @@
         gateway
     }
 
-    /// Passes the current endpoint list to an instance.
+    /// Sends the current endpoint list to an instance.
     fn update_endpoint_list(&mut self, gateway: &mut Gateway) {
         gateway.known_removals = self.removals.len();
         let replaced: Vec<usize> = self.removals.iter().map(|removal| removal.endpoint).collect();
@@ -303,7 +303,7 @@
         self.schedule(at, Event::RequestArrived { call });
     }
 
-    /// Passes a response to the instance that sent the call, unless the instance was lost meanwhile.
+    /// Passes a response to the instance that sent the call, unless the instance has crashed meanwhile.
     pub(super) fn on_response_received(&mut self, call: usize) {
         let now = self.now;
         let state = &self.calls[call];
@@ -359,9 +359,9 @@
         self.advance(instance);
     }
 
-    // ---- Loss and restart ----
+    // ---- Crash and restart ----
 
-    /// Loses an instance with all that it holds in memory, and schedules its restart.
+    /// Crashes an instance, which loses all that it holds in memory, and schedules its restart.
     pub(super) fn stop_instance(&mut self, instance: u32) {
         let gateway = &mut self.gateways[instance as usize];
         gateway.down = true;
@@ -369,7 +369,7 @@
         self.schedule(self.now + RESTART_DELAY, Event::InstanceRestarted { instance });
     }
 
-    /// Replaces a lost instance by a new one, to which the clients resubmit the pending messages.
+    /// Replaces a crashed instance by a new one, to which the clients resubmit the pending messages.
     pub(super) fn restart_instance(&mut self, instance: u32) {
         let seed = self.rng.random();
         let fresh = self.new_gateway(instance as usize, seed);
--- a/crates/simulator/src/load_balance/traffic.rs
+++ b/crates/simulator/src/load_balance/traffic.rs
@@ -24,7 +24,7 @@
     rate: f64,
     /// Usual relative share of each partner.
     partner_shares: Vec<f64>,
-    /// Present multiple of the usual traffic of each partner.
+    /// Current multiple of the usual traffic of each partner.
     partner_factors: Vec<f64>,
     instances: WeightedIndex<f64>,
     classes: WeightedIndex<f64>,
